--- a/internal/task/owner/admit.go
+++ b/internal/task/owner/admit.go
@@ -10,180 +10,180 @@
 )
 
 const (
-	// careful lowers the expected work when the objective grows with it: a job that is
-	// shorter than expected has less time to wait. Work is off by a factor of e^0.28
-	// after the kind's mean and the declaration are combined.
-	careful = 0.8
-	// overhead is what sending, starting, collecting and answering take on a VM with time and
-	// bandwidth to spare, and answering the part of it that is not the orders'.
-	overhead  = 12 * time.Millisecond
-	answering = 8 * time.Millisecond
+	// workDiscount reduces the expected work wherever the objective is proportional to it: a job that
+	// turns out shorter than expected has less time to wait. The estimate, combined from the kind's
+	// mean and the declared run time, is off by a factor of e^0.28.
+	workDiscount = 0.8
+	// overhead is the time to send, start, collect and answer a job on a VM with time and bandwidth to
+	// spare. answerOverhead is the part of it that isn't spent on sending orders.
+	overhead       = 12 * time.Millisecond
+	answerOverhead = 8 * time.Millisecond
 )
 
-// costs is what a job takes beside its work and its wait for room.
+// jobOverhead returns the time that a job takes besides its work and its wait for room.
 //
-// What goes wrong with one figure for all VMs: where a link carries 400 orders a second, a job of
-// sixteen tasks takes 40 ms to start. It is taken in though its objective can't be met, and its
-// orders make those behind it late too. One notices late jobs while endpoints have room.
-func (b *Book) costs(e *entry) time.Duration {
-	if b.cfg.Orders == nil {
+// It depends on the VM's link: at 400 orders a second, a job of sixteen tasks takes 40 ms to start.
+// With one constant for all VMs it would be accepted though it can't meet its objective, and its
+// orders would delay those behind it: jobs are late while endpoints have room.
+func (sc *Book) jobOverhead(e *entry) time.Duration {
+	if sc.cfg.Orders == nil {
 		return overhead
 	}
-	return max(overhead, answering+b.cfg.Orders(e.Tasks()))
+	return max(overhead, answerOverhead+sc.cfg.Orders(e.Tasks()))
 }
 
-// patience is how long a job's tasks may wait in all for it to meet its objective.
-func (b *Book) patience(e *entry, now time.Time) time.Duration {
-	work := b.chain(e.Job)
-	return time.Duration((e.Stretch-1)*careful*float64(work)) + e.Slack - b.costs(e) - e.Waited - now.Sub(e.came)
+// waitBudget returns how long a job's tasks may wait in total for the job to meet its objective.
+func (sc *Book) waitBudget(e *entry, now time.Time) time.Duration {
+	work := sc.chain(e.Job)
+	return time.Duration((e.Stretch-1)*workDiscount*float64(work)) + e.Slack - sc.jobOverhead(e) - e.Waited - now.Sub(e.arrived)
 }
 
-// lastChance is how long the tasks of a job that will miss its objective may wait for
-// its answer to be of some use. Most of the time that the caller has is kept: one that is
-// refused in the end must still be able to go elsewhere. What it has waited before it came
-// does not count: while there is room its answer is given, also late.
-func (b *Book) lastChance(e *entry, now time.Time) time.Duration {
-	work := b.chain(e.Job)
-	aim := time.Duration(e.Stretch*careful*float64(work)) + e.Slack
-	useful := min(lateFor*aim, time.Duration(holdPart*float64(e.due.Sub(e.came))))
-	return useful - work - b.costs(e) - now.Sub(e.came)
+// lateWaitBudget returns how long the tasks of a job that will miss its objective may wait for its
+// answer to be of use. Most of the caller's time is left, so that it can try another VM if it is
+// refused in the end. Time waited before the job arrived here doesn't count: as long
+// as there is room, even a late answer is given.
+func (sc *Book) lateWaitBudget(e *entry, now time.Time) time.Duration {
+	work := sc.chain(e.Job)
+	objective := time.Duration(e.Stretch*workDiscount*float64(work)) + e.Slack
+	useful := min(maxLateFactor*objective, time.Duration(maxWaitPart*float64(e.deadline.Sub(e.arrived))))
+	return useful - work - sc.jobOverhead(e) - now.Sub(e.arrived)
 }
 
-// lateFor is up to how many times its objective an answer is of some use.
-const lateFor = 3
+// maxLateFactor is how many times its objective a job may take for its answer to be of use.
+const maxLateFactor = 3
 
-// holdPart is the part of a caller's time that a job may wait and then be refused.
-const holdPart = 0.35
+// maxWaitPart is the part of a caller's time that a job may wait and then be refused.
+const maxWaitPart = 0.35
 
-// ranks are told apart when the pressure of more urgent work is measured.
-const ranks = 4
+// rankCount is the number of ranks that are distinguished when measuring pressure.
+const rankCount = 4
 
-// flow is the core-seconds that come per second, as a running mean.
-type flow struct {
+// workRate is a running mean of the core-seconds of work that arrive per second.
+type workRate struct {
 	rate float64
 	at   time.Time
 }
 
-// inflowSpan is the time over which arriving work is averaged: short enough to follow
-// a burst, long enough to hold several jobs of each rank.
-const inflowSpan = 500 * time.Millisecond
+// inflowWindow is the time over which arriving work is averaged: short enough to follow a burst,
+// long enough to include several jobs of each rank.
+const inflowWindow = 500 * time.Millisecond
 
-// note counts an arriving job, taken or not.
-func (b *Book) note(now time.Time, e *entry) {
+// recordArrival counts an arriving job, whether it is accepted or not.
+func (sc *Book) recordArrival(now time.Time, e *entry) {
 	work := 0.0
 	for i := range e.Steps {
 		st := &e.Steps[i]
-		work += float64(st.Count) * st.Need.Cores * b.expect(e.Job, st).Seconds()
+		work += float64(st.Count) * st.Need.Cores * sc.expect(e.Job, st).Seconds()
 	}
-	b.needs.note(e.Job)
-	if b.needs.moved() {
-		b.keep()
+	sc.needs.add(e.Job)
+	if sc.needs.changed() {
+		sc.updateSlots()
 	}
-	f := &b.inflow[min(e.Rank, ranks-1)]
-	f.rate = f.decayed(now) + work/inflowSpan.Seconds()
+	f := &sc.inflow[min(e.Rank, rankCount-1)]
+	f.rate = f.decayed(now) + work/inflowWindow.Seconds()
 	f.at = now
 }
 
-func (f *flow) decayed(now time.Time) float64 {
-	return f.rate * math.Exp(-now.Sub(f.at).Seconds()/inflowSpan.Seconds())
+func (f *workRate) decayed(now time.Time) float64 {
+	return f.rate * math.Exp(-now.Sub(f.at).Seconds()/inflowWindow.Seconds())
 }
 
-// pressure is the part of the pool that work of higher ranks is about to take.
-func (b *Book) pressure(now time.Time, rank int) float64 {
-	total, come := 0.0, 0.0
-	for _, s := range b.order {
-		if !s.lost && !s.giving && s.Open() && !b.crawls(s) {
-			total += b.needs.fill(s.Size)
+// pressure returns the part of the pool that arriving work of higher ranks will occupy.
+func (sc *Book) pressure(now time.Time, rank int) float64 {
+	total, incoming := 0.0, 0.0
+	for _, s := range sc.order {
+		if !s.lost && !s.handingOver && s.Open() && !sc.isSlow(s) {
+			total += sc.needs.fill(s.Size)
 		}
 	}
-	for r := range min(rank, ranks) {
-		come += b.inflow[r].decayed(now)
+	for r := range min(rank, rankCount) {
+		incoming += sc.inflow[r].decayed(now)
 	}
 	if total == 0 {
 		return 0
 	}
-	return come / total
+	return incoming / total
 }
 
-// forecast predicts how long a new job's tasks wait in all, from what runs and what
-// goes before it. It plays the pool as places of the job's own need: each run holds one
-// until its expected end, then the waiting tasks take the earliest.
-func (b *Book) forecast(now time.Time, e *entry) (wait time.Duration) {
+// forecast predicts how long a new job's tasks wait in total, from what runs and what is queued
+// before it. It simulates the pool as places of the job's own need: each run occupies one until its
+// expected end, then the waiting tasks take the earliest.
+func (sc *Book) forecast(now time.Time, e *entry) (wait time.Duration) {
 	need := e.Steps[0].Need
-	places := b.places(now, need, e)
+	places := sc.places(now, need, e)
 	if len(places) == 0 {
 		return time.Hour
 	}
-	take := func(d time.Duration) time.Duration {
+	occupy := func(d time.Duration) time.Duration {
 		at := places[0]
 		i, _ := slices.BinarySearch(places[1:], at+d)
 		copy(places[:i], places[1:i+1])
 		places[i] = at + d
 		return at
 	}
-	// What is free now is of no use to what waits, or it would have started: a small
-	// task goes into a gap that the larger ones before it don't fit.
-	first, d := 0, b.expect(e.Job, &e.Steps[0])
+	// Waiting tasks can't use the room that is free now, or they would have started: a small
+	// task fits into a gap that is too small for the larger ones before it.
+	first, d := 0, sc.expect(e.Job, &e.Steps[0])
 	for first < e.Steps[0].Count && places[0] == 0 {
-		take(d)
+		occupy(d)
 		first++
 	}
-	for _, q := range b.queue {
+	for _, q := range sc.queue {
 		if before(e, q) {
 			break
 		}
 		for i := range q.steps {
-			d := b.expect(q.Job, &q.Steps[i])
+			d := sc.expect(q.Job, &q.Steps[i])
 			for range q.steps[i].waiting {
-				take(d)
+				occupy(d)
 			}
 		}
 	}
 	last := d
 	for i := range e.Steps {
-		d := b.expect(e.Job, &e.Steps[i])
+		d := sc.expect(e.Job, &e.Steps[i])
 		for k := range e.Steps[i].Count {
 			if i > 0 || k >= first {
-				last = max(last, take(d)+d)
+				last = max(last, occupy(d)+d)
 			}
 		}
 	}
-	wait = last - b.chain(e.Job)
+	wait = last - sc.chain(e.Job)
 	rank := e.Rank
 	if e.late {
-		rank = ranks
+		rank = rankCount
 	}
 	if rank > 0 && wait > 0 {
-		// Work that goes first and comes meanwhile.
-		wait = time.Duration(float64(wait) / max(leastShare, 1-b.pressure(now, rank)))
+		// Work of higher ranks that arrives in the meantime goes first.
+		wait = time.Duration(float64(wait) / max(minShare, 1-sc.pressure(now, rank)))
 	}
 	return wait
 }
 
-// leastShare is the smallest share of a pool that lower ranks are thought to get.
-const leastShare = 0.25
+// minShare is the smallest share of a pool that lower ranks are assumed to get.
+const minShare = 0.25
 
-// places lists when each place for a need of a job comes free, the earliest first.
-func (b *Book) places(now time.Time, need job.Size, e *entry) (at []time.Duration) {
-	for _, s := range b.order {
-		if s.lost || s.giving || !s.Open() || s.Pool != e.Pool || b.allowed(now, s) == 0 || (!e.late && b.crawls(s)) {
+// places lists when each place for a task of this need becomes free, the earliest first.
+func (sc *Book) places(now time.Time, need job.Size, e *entry) (at []time.Duration) {
+	for _, s := range sc.order {
+		if s.lost || s.handingOver || !s.Open() || s.Pool != e.Pool || sc.maxRuns(now, s) == 0 || (!e.late && sc.isSlow(s)) {
 			continue
 		}
-		for range fits(s.Free(), need) {
+		for range fitCount(s.Free(), need) {
 			at = append(at, 0)
 		}
 		room := s.Free()
-		room.Cores -= float64(fits(room, need)) * need.Cores
+		room.Cores -= float64(fitCount(room, need)) * need.Cores
 		runs := make([]*lease.Run, 0, len(s.Runs))
 		for _, r := range s.Runs {
 			runs = append(runs, r)
 		}
-		slices.SortFunc(runs, func(a, c *lease.Run) int { return int(b.rest(now, a) - b.rest(now, c)) })
-		for _, r := range runs { // a place opens when enough has ended
+		slices.SortFunc(runs, func(a, c *lease.Run) int { return int(sc.remaining(now, a) - sc.remaining(now, c)) })
+		for _, r := range runs { // a place becomes free when enough runs have ended
 			room.Cores += r.Need.Cores
 			if need.Cores <= 0 || room.Cores >= need.Cores {
 				room.Cores -= need.Cores
-				at = append(at, b.rest(now, r))
+				at = append(at, sc.remaining(now, r))
 			}
 		}
 	}
@@ -191,25 +191,24 @@
 	return at
 }
 
-// rest is how much longer a run is expected to take.
-func (b *Book) rest(now time.Time, r *lease.Run) time.Duration {
+// remaining returns how much longer a run is expected to take.
+func (sc *Book) remaining(now time.Time, r *lease.Run) time.Duration {
 	e := r.Job.(*entry)
-	if r.Stage == lease.Stopping || e.told {
-		return b.cfg.Limits.Stop
+	if r.Stage == lease.Stopping || e.answered {
+		return sc.cfg.Limits.Stop
 	}
-	d := b.expect(e.Job, &e.Steps[r.Step])
+	d := sc.expect(e.Job, &e.Steps[r.Step])
 	ran := now.Sub(r.At)
 	return max(d-ran, d/5)
 }
 
-// crowded reports whether more work comes than the pool can do while jobs in time wait. Then
-// a job that will miss its objective is not begun: what is late is worth little, and the
-// places that it holds make others late that would be in time. It is refused as soon as
-// that is known.
-func (b *Book) crowded(now time.Time) bool {
-	return b.pressure(now, ranks) >= full && slices.ContainsFunc(b.queue, func(e *entry) bool { return !e.late })
+// overloaded reports whether more work arrives than the pool can do while jobs that can still meet
+// their objective wait. A job that will miss its objective is then refused as soon as this is known:
+// its late answer is worth little, and the places it would occupy would make other jobs late.
+func (sc *Book) overloaded(now time.Time) bool {
+	return sc.pressure(now, rankCount) >= overloadPart && slices.ContainsFunc(sc.queue, func(e *entry) bool { return !e.late })
 }
 
-// full is the part of the pool from which on late jobs are refused: 0.70 earned in a burst of
-// 2.5 times, and 0.66 if they wait for what stays idle.
-const full = 1.0
+// overloadPart is the pressure, as a part of the pool, from which late jobs are refused. In a 2.5-fold
+// burst 0.70 of the worth was earned; with late jobs waiting for idle room instead, 0.66.
+const overloadPart = 1.0
--- a/internal/task/owner/crash.go
+++ b/internal/task/owner/crash.go
@@ -10,49 +10,47 @@
 )
 
 const (
-	// mostDeaths is how many endpoints may be lost under a task until it is given up. One says
-	// little: up to three tasks share an endpoint, and endpoints die by themselves. The users allow
-	// two more: another guilty job about hides one, and the caller may send the job again.
-	mostDeaths = 2
-	// mostExcused is how many losses of a task are put down to what else was lost beside them. A task that
-	// crashes endpoints while others come and go is given up after two more, and not started again then.
-	mostExcused = 3
-	// waveLeast is how many endpoints are lost together for them to count as a wave: two may be those of two tasks
-	// that crash endpoints.
-	waveLeast = 3
-	// cohortFor is the time within which endpoints that are lost together are noticed: one that is idle, or
-	// under orders only, is looked at up to a second later than one whose lease is renewed.
-	cohortFor = 1200 * time.Millisecond
+	// maxTaskLosses is how many endpoints may be lost under a task before it is given up. One loss proves
+	// little: up to three tasks share an endpoint, and endpoints also fail on their own. The users allow
+	// two more: one may be hidden by another crashing job, one follows if the caller submits again.
+	maxTaskLosses = 2
+	// maxExemptions is how many losses of a task are attributed to outages. A task that crashes endpoints
+	// while others come and go is given up after two more losses, and is not started again after that.
+	maxExemptions = 3
+	// minOutage is how many endpoints must be lost together to count as an outage: two may be lost to two
+	// tasks that crash endpoints.
+	minOutage = 3
+	// outageWindow is the time within which endpoints that fail together are detected. One that is idle
+	// or only gets orders is probed up to a second later than one whose lease is renewed.
+	outageWindow = 1200 * time.Millisecond
 )
 
-// death is an endpoint that was lost with what ran there.
-type death struct {
-	at   time.Time // its first sign
+// lostEndpoint is a lost endpoint with the runs it had.
+type lostEndpoint struct {
+	at   time.Time // first sign of the loss
 	runs []*lease.Run
 }
 
-// charge is a task under which an endpoint was lost, until it is known what else was lost in that moment.
-type charge struct {
-	at     time.Time // the first sign of the loss
-	run    *lease.Run
-	beside int // other tasks on the endpoint
+// pendingLoss is the loss of an endpoint under a task, kept until it is known what else was lost then.
+type pendingLoss struct {
+	at         time.Time // first sign of the loss
+	run        *lease.Run
+	otherTasks int // other tasks on the endpoint
 }
 
-// perished takes in that an endpoint was lost, and with it some runs, before they are taken into
-// their jobs.
+// recordLostRuns records the loss of an endpoint for its runs, before they are returned to their jobs.
 //
-// What goes wrong without it: a task that crashes whatever starts it takes one endpoint after the
-// other, each with the tasks beside it, until its caller gives up. One notices endpoints that are
-// lost one at a time, and one job at all of them. Such a task runs alone from then on, and is given up
-// when two were lost under it. Endpoints of a rack that loses power die together, and no job was on
-// most of them: nobody is suspected then. Its endpoints have several owners, so that each waits
-// with its verdict until it has heard of the others' losses.
+// Without it, a task that crashes its endpoint takes down one after the other, with the tasks beside
+// it, until its caller gives up: endpoints are lost one at a time, all running the same job. A
+// suspected task runs alone from then on and is given up at the second loss. When a rack loses power,
+// its endpoints fail together and no job ran on most of them: no task is suspected. A rack's endpoints
+// have several owners, so each owner waits for the losses of the others.
 //
-// That a job has failed is never said for this: an owner sees that an endpoint is silent, not why. One
-// that is cut off, or goes down and up by itself, may be lost twice under a task that did nothing.
-func (b *Book) perished(now time.Time, s *site, over []lease.Finished) {
+// Such a job is never answered as failed: an owner sees that an endpoint is silent, but not why. One
+// that is cut off or restarts on its own may be lost twice under an innocent task.
+func (sc *Book) recordLostRuns(now time.Time, s *endpoint, ended []lease.Finished) {
 	var runs []*lease.Run
-	for _, f := range over {
+	for _, f := range ended {
 		if f.How == lease.Died {
 			runs = append(runs, f.Run)
 		}
@@ -60,128 +58,128 @@
 	if len(runs) == 0 {
 		return
 	}
-	d := death{b.missed(now, s.ID), runs}
-	b.deaths = slices.DeleteFunc(b.deaths, func(o death) bool { return now.Sub(o.at) > lossKept })
-	b.deaths = append(b.deaths, d)
+	d := lostEndpoint{sc.noteLoss(now, s.ID), runs}
+	sc.lostEndpoints = slices.DeleteFunc(sc.lostEndpoints, func(o lostEndpoint) bool { return now.Sub(o.at) > lossRetention })
+	sc.lostEndpoints = append(sc.lostEndpoints, d)
 	for _, r := range runs {
-		b.charged[r.Name]++
-		b.charges = append(b.charges, charge{d.at, r, len(runs) - 1})
+		sc.pending[r.Name]++
+		sc.pendingLosses = append(sc.pendingLosses, pendingLoss{d.at, r, len(runs) - 1})
 	}
-	b.judgeCharges(now)
+	sc.resolvePending(now)
 }
 
-// judgeCharges decides on the charges that are old enough for that.
-func (b *Book) judgeCharges(now time.Time) {
-	due := func(c charge) bool { return now.Sub(c.at) >= b.cfg.Hearsay }
-	for _, c := range b.charges {
-		if due(c) {
-			b.decide(now, c)
+// resolvePending resolves the pending losses that are old enough.
+func (sc *Book) resolvePending(now time.Time) {
+	due := func(p pendingLoss) bool { return now.Sub(p.at) >= sc.cfg.Hearsay }
+	for _, p := range sc.pendingLosses {
+		if due(p) {
+			sc.resolveLoss(now, p)
 		}
 	}
-	b.charges = slices.DeleteFunc(b.charges, due)
+	sc.pendingLosses = slices.DeleteFunc(sc.pendingLosses, due)
 }
 
-// decide suspects a charged task, or excuses it.
-func (b *Book) decide(now time.Time, c charge) {
-	name := c.run.Name
-	if b.charged[name]--; b.charged[name] <= 0 {
-		delete(b.charged, name)
+// resolveLoss counts a pending loss against its task or attributes it to an outage.
+func (sc *Book) resolveLoss(now time.Time, p pendingLoss) {
+	name := p.run.Name
+	if sc.pending[name]--; sc.pending[name] <= 0 {
+		delete(sc.pending, name)
 	}
-	b.suspected[name] = now
-	h := b.cohort(c)
-	if x := b.excused[name]; b.suspects[name] < mostDeaths && x.take(c, h.excuses()) {
-		b.excused[name] = x
-		b.cfg.Log.Info("task excused", "job", c.run.Task.Job, "task", name, "run", c.run.Num, "on", h.on, "of", h.lost, "times", x.times)
+	sc.suspectedAt[name] = now
+	o := sc.findOutage(p)
+	if x := sc.exemptions[name]; sc.suspects[name] < maxTaskLosses && x.add(p, o.exemptionLimit()) {
+		sc.exemptions[name] = x
+		sc.cfg.Log.Info("task loss attributed to outage", "job", p.run.Task.Job, "task", name, "run", p.run.Num, "with_job", o.withJob, "lost_together", o.lost, "exemptions", x.count)
 		return
 	}
-	b.suspects[name]++
-	if b.suspects[name] == mostDeaths && b.excused[name].times == mostExcused {
-		b.suspects[name]++ // the start that others have left was excused before
+	sc.suspects[name]++
+	if sc.suspects[name] == maxTaskLosses && sc.exemptions[name].count == maxExemptions {
+		sc.suspects[name]++ // the extra start after giving up is already used by the exemptions
 	}
-	b.news = append(b.news, news{now, Suspect{name, b.suspects[name]}})
-	b.cfg.Log.Info("task suspected", "job", c.run.Task.Job, "task", name, "run", c.run.Num, "lost", b.suspects[name], "on", h.on, "of", h.lost, "beside", c.beside)
-	e := c.run.Job.(*entry)
-	if b.suspects[name] >= mostDeaths && !e.told && slices.Contains(e.steps[c.run.Task.Step].waiting, c.run.Task.Index) {
-		b.giveUp(now, e, name)
+	sc.suspicions = append(sc.suspicions, suspicion{now, Suspect{name, sc.suspects[name]}})
+	sc.cfg.Log.Info("task suspected", "job", p.run.Task.Job, "task", name, "run", p.run.Num, "lost", sc.suspects[name], "with_job", o.withJob, "lost_together", o.lost, "other_tasks", p.otherTasks)
+	e := p.run.Job.(*entry)
+	if sc.suspects[name] >= maxTaskLosses && !e.answered && slices.Contains(e.steps[p.run.Task.Step].waiting, p.run.Task.Index) {
+		sc.giveUp(now, e, name)
 	}
 }
 
-// excuse is how often losses of a task were put down to what else was lost.
-type excuse struct {
-	times int
-	at    time.Time // of the last that counts
-	met   bool      // the task was started anew on an endpoint that was lost about then
+// exemption counts the losses of a task that were attributed to outages.
+type exemption struct {
+	count    int
+	at       time.Time // of the latest one counted
+	repeated bool      // one unconfirmed run on an endpoint of the same outage was exempt as well
 }
 
-// take excuses a loss if it may be, up to so many. The first that meets a task when it is started anew, on an
-// endpoint that was lost in the same moment, does not count.
-func (x *excuse) take(c charge, most int) bool {
+// add exempts a loss if fewer than limit are counted. Once, the loss of an unconfirmed run that was
+// started again on an endpoint lost in the same outage is exempt without being counted.
+func (x *exemption) add(p pendingLoss, limit int) bool {
 	switch {
-	case most > 0 && x.times > 0 && !x.met && !begun(c.run) && c.at.Sub(x.at).Abs() <= cohortFor:
-		x.met = true
-	case x.times < most:
-		*x = excuse{times: x.times + 1, at: c.at}
+	case limit > 0 && x.count > 0 && !x.repeated && !begun(p.run) && p.at.Sub(x.at).Abs() <= outageWindow:
+		x.repeated = true
+	case x.count < limit:
+		*x = exemption{count: x.count + 1, at: p.at}
 	default:
 		return false
 	}
 	return true
 }
 
-// cohort is what was lost about the time of a charge. Runs count that had surely begun: others may have met an
-// endpoint that was lost before.
-type cohort struct {
-	lost  int  // endpoints
-	on    int  // those with runs of the task's job
-	ran   int  // those with runs of the task
-	begun bool // the run of the charge had begun
+// outage counts the endpoints lost at about the time of a pending loss. Only runs known to have begun
+// count: others may have been sent to an endpoint that was already lost.
+type outage struct {
+	lost     int  // endpoints
+	withJob  int  // those with runs of the task's job
+	withTask int  // those with runs of the task
+	begun    bool // the run of the pending loss had begun
 }
 
-func (b *Book) cohort(c charge) (h cohort) {
-	h.lost, h.begun = b.missing(c.at), begun(c.run)
-	for _, d := range b.deaths {
-		if d.at.Sub(c.at).Abs() > cohortFor {
+func (sc *Book) findOutage(p pendingLoss) (o outage) {
+	o.lost, o.begun = sc.countLosses(p.at), begun(p.run)
+	for _, d := range sc.lostEndpoints {
+		if d.at.Sub(p.at).Abs() > outageWindow {
 			continue
 		}
-		if slices.ContainsFunc(d.runs, func(r *lease.Run) bool { return r.Task.Job == c.run.Task.Job && begun(r) }) {
-			h.on++
+		if slices.ContainsFunc(d.runs, func(r *lease.Run) bool { return r.Task.Job == p.run.Task.Job && begun(r) }) {
+			o.withJob++
 		}
-		if slices.ContainsFunc(d.runs, func(r *lease.Run) bool { return r.Name == c.run.Name && begun(r) }) {
-			h.ran++
+		if slices.ContainsFunc(d.runs, func(r *lease.Run) bool { return r.Name == p.run.Name && begun(r) }) {
+			o.withTask++
 		}
 	}
-	return h
+	return o
 }
 
 // begun reports whether an endpoint has confirmed or listed a run.
 func begun(r *lease.Run) bool { return r.Seen.After(r.At) }
 
-// excuses is how many losses of a task are put down to what else was lost. A task that has begun on two of the
-// endpoints found the second one alive when the first was lost. A job that was on most of them may be the cause,
-// or be a wide one; a second such job may be about.
-func (h cohort) excuses() int {
+// exemptionLimit returns how many losses of a task may be attributed to the outage. A task that has
+// begun on two of its endpoints gets none: the second was still up when the first was lost. A job that
+// ran on most of them may be the cause, with another for the rest, or just be wide: it gets one.
+func (o outage) exemptionLimit() int {
 	switch {
-	case h.lost < waveLeast || h.on == h.lost || h.ran > 1:
+	case o.lost < minOutage || o.withJob == o.lost || o.withTask > 1:
 		return 0
-	case 2*h.on > h.lost && h.begun:
+	case 2*o.withJob > o.lost && o.begun:
 		return 1
 	default:
-		return mostExcused
+		return maxExemptions
 	}
 }
 
 // giveUp ends a job with a task under which too many endpoints were lost.
-func (b *Book) giveUp(now time.Time, e *entry, task string) {
-	b.finish(now, e, job.Answer{Outcome: e.outcome(), Reason: job.Silent, Detail: task + " was running when two endpoints were lost"})
+func (sc *Book) giveUp(now time.Time, e *entry, task string) {
+	sc.finish(now, e, job.Answer{Outcome: e.outcome(), Reason: job.Silent, Detail: task + " was running when two endpoints were lost"})
 }
 
-// again puts a task that is to start anew among those that wait. One that is suspected goes last:
-// the others of its job should not be beside it.
-func (b *Book) again(now time.Time, e *entry, r *lease.Run) {
+// requeue puts a task that must start again back among the waiting ones. A suspected task goes last,
+// so that the other tasks of its job don't run beside it.
+func (sc *Book) requeue(now time.Time, e *entry, r *lease.Run) {
 	st := &e.steps[r.Task.Step]
 	switch {
-	case b.suspects[r.Name] >= mostDeaths:
-		b.giveUp(now, e, r.Name)
-	case b.isSuspect(r.Name):
+	case sc.suspects[r.Name] >= maxTaskLosses:
+		sc.giveUp(now, e, r.Name)
+	case sc.isSuspect(r.Name):
 		st.waiting = slices.Insert(st.waiting, 0, r.Task.Index)
 	default:
 		st.waiting = append(st.waiting, r.Task.Index)
@@ -189,56 +187,56 @@
 }
 
 // isSuspect reports whether a task may crash the endpoint that starts it.
-func (b *Book) isSuspect(task string) bool { return b.suspects[task]+b.charged[task] > 0 }
+func (sc *Book) isSuspect(task string) bool { return sc.suspects[task]+sc.pending[task] > 0 }
 
-// suspicious reports whether any task is a suspect.
-func (b *Book) suspicious() bool { return len(b.suspects)+len(b.charged) > 0 }
+// anySuspects reports whether any task is suspected.
+func (sc *Book) anySuspects() bool { return len(sc.suspects)+len(sc.pending) > 0 }
 
-// held reports whether a task waits for a verdict by which its job may be given up.
-func (b *Book) held(task string) bool {
-	return b.charged[task] > 0 && b.suspects[task]+b.charged[task] >= mostDeaths
+// awaitsVerdict reports whether a task's job may be given up once its pending losses are resolved.
+func (sc *Book) awaitsVerdict(task string) bool {
+	return sc.pending[task] > 0 && sc.suspects[task]+sc.pending[task] >= maxTaskLosses
 }
 
-// acquit forgets suspicions of tasks that are not at hand any more and were not suspected lately.
-func (b *Book) acquit(now time.Time) {
-	for name, at := range b.suspected {
-		if b.names[jobOf(name)] == nil && now.Sub(at) >= numsFor {
-			delete(b.suspects, name)
-			delete(b.suspected, name)
-			delete(b.excused, name)
+// expireSuspects drops suspicions of tasks whose jobs are not here and that were not suspected lately.
+func (sc *Book) expireSuspects(now time.Time) {
+	for name, at := range sc.suspectedAt {
+		if sc.byID[jobID(name)] == nil && now.Sub(at) >= runNumsKept {
+			delete(sc.suspects, name)
+			delete(sc.suspectedAt, name)
+			delete(sc.exemptions, name)
 		}
 	}
 }
 
-func jobOf(task string) string {
+func jobID(task string) string {
 	id, _, _ := strings.Cut(task, ".")
 	return id
 }
 
-// guilty names a task of a job under which so many endpoints were lost that it is not started again.
-// One that was given up is started once more for a caller that submits it again, alone: endpoints
-// that come and go may have been lost under it by chance.
-func (b *Book) guilty(id string) (task string) {
-	for name, lost := range b.suspects {
-		if lost > mostDeaths && jobOf(name) == id {
+// crashingTask names a task of a job that is not started again because of the endpoints lost under it.
+// A task that was given up gets one more start, alone, if its caller submits it again: endpoints that
+// come and go may have been lost under it by chance.
+func (sc *Book) crashingTask(id string) (task string) {
+	for name, lost := range sc.suspects {
+		if lost > maxTaskLosses && jobID(name) == id {
 			return name
 		}
 	}
 	return ""
 }
 
-// apart reports whether a task may start at an endpoint as far as suspicion goes: a suspected one
-// has an endpoint for itself while it runs, so that the next loss tells whose fault it was, and takes
-// no others with it.
-func (b *Book) apart(s *site, task string) bool {
-	if !b.suspicious() || len(s.Runs) == 0 {
+// mayShare reports whether suspicions let a task start on an endpoint. A suspected task has its
+// endpoint to itself while it runs, so that the next loss shows whether it is the cause and affects no
+// other task.
+func (sc *Book) mayShare(s *endpoint, task string) bool {
+	if !sc.anySuspects() || len(s.Runs) == 0 {
 		return true
 	}
-	if b.isSuspect(task) {
+	if sc.isSuspect(task) {
 		return false
 	}
 	for n := range s.Runs {
-		if b.isSuspect(n.Task) {
+		if sc.isSuspect(n.Task) {
 			return false
 		}
 	}
--- /dev/null
+++ b/internal/task/owner/dispatch.go
@@ -0,0 +1,206 @@
+package owner
+
+import (
+	"slices"
+	"time"
+
+	"dahliawinch/internal/task/batch"
+	"dahliawinch/internal/task/job"
+)
+
+// maxRuns returns how many runs the endpoint's health allows at once.
+func (sc *Book) maxRuns(now time.Time, s *endpoint) int {
+	n := sc.health.Limit(now, s.Addr)
+	if n >= s.slots {
+		return 1 << 20 // healthy: only its room is a limit
+	}
+	return n
+}
+
+// dispatch starts waiting tasks in queue order while there is room. Smaller jobs may pass one that
+// doesn't fit, as it couldn't use that room now.
+func (sc *Book) dispatch(now time.Time) {
+	minUnfit := 0.0 // smallest need in cores that found no room in this pass
+	for _, e := range slices.Clone(sc.queue) {
+		if !e.fresh(now) {
+			continue
+		}
+		for i := range e.steps {
+			if !e.ready(i) {
+				continue
+			}
+			if c := e.Steps[i].Need.Cores; minUnfit > 0 && c >= minUnfit {
+				continue
+			}
+			if !sc.startStep(now, e, i) && unconstrained(&e.Steps[i]) {
+				minUnfit = e.Steps[i].Need.Cores
+			}
+		}
+		if !e.hasWaiting() {
+			sc.queue = slices.DeleteFunc(sc.queue, func(x *entry) bool { return x == e })
+		}
+	}
+}
+
+// unconstrained reports whether a step's tasks may run on any endpoint with room.
+func unconstrained(s *batch.Step) bool { return s.Label == "" && s.Spread == 0 && !s.Gang }
+
+// startStep starts the tasks of a step that fit; it returns false if one didn't.
+func (sc *Book) startStep(now time.Time, e *entry, i int) bool {
+	st := &e.steps[i]
+	if e.Steps[i].Gang && !sc.gangFits(now, e, i) {
+		return len(st.waiting) == 0
+	}
+	for len(st.waiting) > 0 {
+		last := len(st.waiting) - 1
+		k := st.waiting[last]
+		if len(sc.pending) > 0 && sc.awaitsVerdict(batch.Task{Job: e.ID, Step: i, Index: k}.String()) {
+			return true // the tasks before it are suspected as well
+		}
+		s := sc.pick(now, e, &e.Steps[i], batch.Task{Job: e.ID, Step: i, Index: k})
+		if s == nil {
+			return false
+		}
+		st.waiting = st.waiting[:last]
+		sc.start(now, e, i, k, s)
+	}
+	return true
+}
+
+func (sc *Book) start(now time.Time, e *entry, i, k int, s *endpoint) {
+	st := &e.steps[i]
+	if st.runNums[k] == 0 {
+		st.runNums[k] = sc.runNums[e.ID]
+	}
+	st.runNums[k]++
+	r := s.Start(now, batch.Task{Job: e.ID, Step: i, Index: k}, st.runNums[k], e.Steps[i].Need)
+	r.Job = e
+	s.lastStart = now
+	e.runs[r] = s.Endpoint
+	e.starts++
+	if e.late { // begun jobs go first: their finished work is lost if the rest waits too long
+		e.late = false
+		sc.queue = slices.DeleteFunc(sc.queue, func(x *entry) bool { return x == e })
+		sc.enqueue(e)
+	}
+	sc.actions.Starts = append(sc.actions.Starts, Start{At: s.Endpoint, Run: r, Spec: e.Spec, Until: s.Until(now), Fence: s.Fence})
+	sc.renew(s)
+}
+
+// pick returns the endpoint on which a task leaves the least room unused, to keep large gaps for large
+// tasks; nil if none has room.
+func (sc *Book) pick(now time.Time, e *entry, st *batch.Step, t batch.Task) (best *endpoint) {
+	lowest, name := 0.0, ""
+	if sc.anySuspects() {
+		name = t.String()
+	}
+	retry := e.steps[t.Step].failures[t.Index] > 0 && sc.hasGoodEndpoint(e, st)
+	for _, s := range sc.order {
+		if retry && (s.lastRunFailed() || sc.awaitsSuccess(now, e, s, t)) {
+			continue
+		}
+		if !sc.usable(now, s, e, st) || (st.Spread > 0 && countRuns(e, s, t.Step) >= st.Spread) || !sc.mayShare(s, name) {
+			continue
+		}
+		c := s.Free().Cores - st.Need.Cores
+		if st.Near != "" && !slices.Contains(s.Labels, st.Near) {
+			c += s.Size.Cores * sc.cfg.Far // slower: better than waiting, worse than any near endpoint
+		}
+		c *= float64(sc.health.Slow(s.Addr)) / 100
+		if retry { // prefer the endpoint with the latest success
+			c = float64(now.Sub(s.lastSuccess))
+		}
+		if best == nil || c < lowest {
+			best, lowest = s, c
+		}
+	}
+	return best
+}
+
+// lastRunFailed reports whether, of the runs that ended on their own, the latest one to start failed.
+// The order of the ends proves less: a successful run may have started before the endpoint broke.
+func (s *endpoint) lastRunFailed() bool {
+	return !s.lastFailure.IsZero() && !s.lastSuccess.After(s.lastFailure)
+}
+
+// hasGoodEndpoint reports whether an endpoint whose last run didn't fail has or will have room for a task.
+//
+// Endpoints that fail everything are free most often, so that a failed task would be retried on the
+// next such endpoint until its attempts are used up: jobs fail within a second after several endpoints
+// broke.
+func (sc *Book) hasGoodEndpoint(e *entry, st *batch.Step) bool {
+	return slices.ContainsFunc(sc.order, func(s *endpoint) bool {
+		return !s.lastRunFailed() && !s.lost && !s.handingOver && s.Open() && st.Need.Fits(s.Size) && matches(s, st, e.Pool)
+	})
+}
+
+// successWait is how long the last attempt of a task waits for an endpoint with a successful run that
+// started after the task first failed: two or three of the shortest runs. Failed attempts follow each
+// other within milliseconds, before it is known which endpoints are broken.
+const successWait = 200 * time.Millisecond
+
+// awaitsSuccess reports whether a task's last attempt should not be made on an endpoint yet.
+func (sc *Book) awaitsSuccess(now time.Time, e *entry, s *endpoint, t batch.Task) bool {
+	st := &e.steps[t.Step]
+	since := st.firstFailed[t.Index]
+	return st.failures[t.Index] >= e.Attempts-1 && !s.lastSuccess.After(since) && now.Sub(since) < successWait
+}
+
+func (sc *Book) usable(now time.Time, s *endpoint, e *entry, st *batch.Step) bool {
+	switch {
+	case s.lost, !s.Endpoint.Open(), !s.Leasable(now, e), now.Before(s.fullUntil), s.handingOver && !e.begun, !sc.cordonAdmits(now, s, e):
+		return false
+	case !st.Need.Fits(s.Free()), !matches(s, st, e.Pool):
+		return false
+	}
+	if !e.late && sc.isSlow(s) && now.Sub(s.lastStart) < slowTrialInterval {
+		return false
+	}
+	return len(s.Runs) < sc.maxRuns(now, s)
+}
+
+// countRuns returns how many runs of a step an endpoint has.
+func countRuns(e *entry, s *endpoint, i int) (n int) {
+	for r, ep := range e.runs {
+		if ep == s.Endpoint && r.Task.Step == i {
+			n++
+		}
+	}
+	return n
+}
+
+// gangFits reports whether all tasks of a step can start now; if only some could, they would occupy
+// room while waiting for the others.
+func (sc *Book) gangFits(now time.Time, e *entry, i int) bool {
+	st := &e.Steps[i]
+	if len(e.steps[i].waiting) < st.Count {
+		return false // earlier runs must end first
+	}
+	places := 0
+	for _, s := range sc.order {
+		if !sc.usable(now, s, e, st) {
+			continue
+		}
+		n := fitCount(s.Free(), st.Need)
+		if st.Spread > 0 {
+			n = min(n, st.Spread)
+		}
+		places += n
+	}
+	return places >= st.Count
+}
+
+// fitCount returns how many tasks of a need fit into a room.
+func fitCount(room, need job.Size) int {
+	n := 1 << 10
+	if need.Cores > 0 {
+		n = min(n, int(room.Cores/need.Cores))
+	}
+	if need.Memory > 0 {
+		n = min(n, int(room.Memory/need.Memory))
+	}
+	if need.Accels > 0 {
+		n = min(n, int(room.Accels/need.Accels))
+	}
+	return max(0, n)
+}
--- a/internal/task/owner/keepalive_test.go
+++ b/internal/task/owner/keepalive_test.go
@@ -13,51 +13,51 @@
 	"dahliawinch/internal/task/lease"
 )
 
-// How long runs outlive the last keepalive of their job is told when the last of them ends.
-func TestOutlivedRunsAreTold(t *testing.T) {
+// The time from a job's last keepalive to the end of its last run is reported when that run ends.
+func TestOutlivedRunsAreReported(t *testing.T) {
 	is := is.New(t)
-	b := bench(64)
-	var told []time.Duration
-	b.cfg.Log = slog.New(slog.NewTextHandler(io.Discard, nil))
-	b.cfg.Outlived = func(d time.Duration) { told = append(told, d) }
-	j := of("j1", 0, tasks(2, 30, time.Second))
+	sc := newScheduler(64)
+	var reported []time.Duration
+	sc.cfg.Log = slog.New(slog.NewTextHandler(io.Discard, nil))
+	sc.cfg.Outlived = func(d time.Duration) { reported = append(reported, d) }
+	j := newJob("j1", 0, tasks(2, 30, time.Second))
 	j.Asked = t0
-	b.Submit(t0, key(1), j)
-	starts := b.Take().Starts
-	begin(b, t0, starts)
-	b.Cancel(t0.Add(300*time.Millisecond), key(1), "its caller left")
-	finish(b, t0.Add(340*time.Millisecond), starts[0], lease.Gone)
-	is.Equal(len(told), 0)
-	finish(b, t0.Add(390*time.Millisecond), starts[1], lease.Gone)
-	is.Equal(told, []time.Duration{390 * time.Millisecond})
+	sc.Submit(t0, key(1), j)
+	starts := sc.Take().Starts
+	begin(sc, t0, starts)
+	sc.Cancel(t0.Add(300*time.Millisecond), key(1), "its caller left")
+	finish(sc, t0.Add(340*time.Millisecond), starts[0], lease.Gone)
+	is.Equal(len(reported), 0)
+	finish(sc, t0.Add(390*time.Millisecond), starts[1], lease.Gone)
+	is.Equal(reported, []time.Duration{390 * time.Millisecond})
 }
 
-// Guards against a histogram that counts how long an owner stood still after the lease of its runs had run out.
-func TestOutlivedGoesByTheLease(t *testing.T) {
+// Guards against a histogram that includes an owner's pause after the lease of its runs ran out.
+func TestOutlivedEndsWithTheLease(t *testing.T) {
 	is := is.New(t)
-	b := resending(64, 5*time.Second)
-	var told []time.Duration
-	b.cfg.Outlived = func(d time.Duration) { told = append(told, d) }
-	begin(b, t0, b.Take().Starts)
-	ep := b.Find("e")
+	sc := resending(64, 5*time.Second)
+	var reported []time.Duration
+	sc.cfg.Outlived = func(d time.Duration) { reported = append(reported, d) }
+	begin(sc, t0, sc.Take().Starts)
+	ep := sc.Find("e")
 	lapse := ep.Lapse()
-	ep.Missed = quietAfter
-	b.Quiet(t0.Add(100*time.Millisecond), ep, errMute)
-	b.Cancel(t0.Add(200*time.Millisecond), key(1), "its caller left")
-	b.Tick(t0.Add(5 * time.Second)) // it stood still
-	is.Equal(told, []time.Duration{lapse.Sub(t0)})
+	ep.Missed = silentAfter
+	sc.Quiet(t0.Add(100*time.Millisecond), ep, errNoAnswer)
+	sc.Cancel(t0.Add(200*time.Millisecond), key(1), "its caller left")
+	sc.Tick(t0.Add(5 * time.Second)) // it was paused
+	is.Equal(reported, []time.Duration{lapse.Sub(t0)})
 }
 
-// resending is a book whose callers submit again after 1.3 s, with a job of another VM that asked for it at t0.
+// resending returns a scheduler whose callers submit again after 1.3 s, with a job of another VM whose last keepalive is t0.
 func resending(cores float64, run time.Duration) *Book {
-	b := bench(cores)
-	b.cfg.Limits.Resend = 1300 * time.Millisecond
-	b.Lose(t0, "a", true, "made anew")
-	b.Own(lease.Info{ID: "e", Pool: "p", Size: job.Size{Cores: cores, Memory: 64}}, 8)
-	b.Renewed(t0, t0, b.Find("e"), lease.Report{Clock: 1000})
-	b.Take()
-	b.Submit(t0, key(1), askedAt(t0, of("j1", 0, tasks(1, 30, run))))
-	return b
+	sc := newScheduler(cores)
+	sc.cfg.Limits.Resend = 1300 * time.Millisecond
+	sc.Lose(t0, "a", true, "made anew")
+	sc.Own(lease.Info{ID: "e", Pool: "p", Size: job.Size{Cores: cores, Memory: 64}}, 8)
+	sc.Renewed(t0, t0, sc.Find("e"), lease.Report{Clock: 1000})
+	sc.Take()
+	sc.Submit(t0, key(1), askedAt(t0, newJob("j1", 0, tasks(1, 30, run))))
+	return sc
 }
 
 func askedAt(at time.Time, j *batch.Job) *batch.Job {
@@ -65,75 +65,75 @@
 	return j
 }
 
-// Guards against a run whose stop is never confirmed and whose lease the runs beside it prolong.
+// Guards against a run whose stop is never confirmed and whose lease is extended by the runs beside it.
 func TestUnconfirmedStopEndsWithTheLeaseInTime(t *testing.T) {
 	is := is.New(t)
-	b := resending(64, 5*time.Second)
-	ep := b.Find("e")
-	starts := b.Take().Starts
-	begin(b, t0, starts)
+	sc := resending(64, 5*time.Second)
+	ep := sc.Find("e")
+	starts := sc.Take().Starts
+	begin(sc, t0, starts)
 	n := starts[0].Run
 	for now := t0; now.Before(t0.Add(3 * time.Second)); now = now.Add(50 * time.Millisecond) {
-		b.Submit(now, key(uint64(now.UnixNano())), of("k"+now.String(), 0, tasks(1, 1, 5*time.Second)))
-		b.Tick(now)
+		sc.Submit(now, key(uint64(now.UnixNano())), newJob("k"+now.String(), 0, tasks(1, 1, 5*time.Second)))
+		sc.Tick(now)
 		ep.Until(now)
-		for _, s := range b.Take().Starts {
-			b.Started(now, s.At, s.Run)
+		for _, s := range sc.Take().Starts {
+			sc.Started(now, s.At, s.Run)
 		}
 		if n.Stage != lease.Over {
-			is.True(!ep.Lapse().After(t0.Add(b.cfg.Limits.Outlive())))
+			is.True(!ep.Lapse().After(t0.Add(sc.cfg.Limits.Outlive())))
 		}
 	}
 	is.Equal(n.Stage, lease.Stopping)
 }
 
-// Guards against a job that goes on after its VM has fallen silent, and against one that ends while it is asked for.
-func TestJobEndsOnceItIsNotAskedFor(t *testing.T) {
+// Guards against a job that goes on after its VM fell silent, and one that ends while keepalives arrive.
+func TestJobEndsWithoutKeepalives(t *testing.T) {
 	is := is.New(t)
-	b := resending(64, 5*time.Second)
-	begin(b, t0, b.Take().Starts)
+	sc := resending(64, 5*time.Second)
+	begin(sc, t0, sc.Take().Starts)
 	now := t0
 	for ; now.Before(t0.Add(2 * time.Second)); now = now.Add(150 * time.Millisecond) {
-		b.Keepalive(now, key(1), now.Add(-100*time.Millisecond))
-		b.Tick(now)
-		is.Equal(len(b.Take().Stops), 0)
+		sc.Keepalive(now, key(1), now.Add(-100*time.Millisecond))
+		sc.Tick(now)
+		is.Equal(len(sc.Take().Stops), 0)
 	}
 	last := now.Add(-250 * time.Millisecond)
-	b.Tick(last.Add(b.cfg.Limits.Expiry() - time.Millisecond))
-	is.Equal(len(b.Take().Stops), 0)
-	b.Tick(last.Add(b.cfg.Limits.Expiry()))
-	acts := b.Take()
+	sc.Tick(last.Add(sc.cfg.Limits.Expiry() - time.Millisecond))
+	is.Equal(len(sc.Take().Stops), 0)
+	sc.Tick(last.Add(sc.cfg.Limits.Expiry()))
+	acts := sc.Take()
 	is.Equal(len(acts.Stops), 1)
 	is.Equal(acts.Tells[0].Answer.Outcome, job.Unknown)
 }
 
-// Guards against a start on a keepalive that is too old for a lease to end in time.
+// Guards against a start on a keepalive that is too old for the lease to end in time.
 func TestTasksStartOnAFreshKeepaliveOnly(t *testing.T) {
 	is := is.New(t)
-	b := resending(30, 300*time.Millisecond) // one task fills it
-	first := b.Take().Starts
-	begin(b, t0, first)
-	j := askedAt(t0, of("l1", 2, tasks(1, 30, 300*time.Millisecond)))
+	sc := resending(30, 300*time.Millisecond) // one task fills it
+	first := sc.Take().Starts
+	begin(sc, t0, first)
+	j := askedAt(t0, newJob("l1", 2, tasks(1, 30, 300*time.Millisecond)))
 	j.Slack = time.Second
-	b.Submit(t0, key(2), j)
-	now := t0.Add(b.cfg.Limits.Fresh() + time.Millisecond)
-	finish(b, now, first[0], lease.Done)
-	is.Equal(len(b.Take().Starts), 0)
-	b.Keepalive(now, key(2), now.Add(-10*time.Millisecond))
-	is.Equal(len(b.Take().Starts), 1)
+	sc.Submit(t0, key(2), j)
+	now := t0.Add(sc.cfg.Limits.Fresh() + time.Millisecond)
+	finish(sc, now, first[0], lease.Done)
+	is.Equal(len(sc.Take().Starts), 0)
+	sc.Keepalive(now, key(2), now.Add(-10*time.Millisecond))
+	is.Equal(len(sc.Take().Starts), 1)
 }
 
 // Guards against a start at a time read before a pause, on an endpoint whose lease was renewed after it.
 func TestNoRunStartsUnderALeaseBeyondItsKeepalive(t *testing.T) {
 	is := is.New(t)
-	b := resending(96, 5*time.Second)
-	begin(b, t0, b.Take().Starts)
-	ep := b.Find("e")
+	sc := resending(96, 5*time.Second)
+	begin(sc, t0, sc.Take().Starts)
+	ep := sc.Find("e")
 	asked := t0.Add(200 * time.Millisecond)
-	old := asked.Add(b.cfg.Limits.Fresh())
+	old := asked.Add(sc.cfg.Limits.Fresh())
 	woke := old.Add(700 * time.Millisecond)
-	b.Keepalive(woke, key(1), woke)
+	sc.Keepalive(woke, key(1), woke)
 	ep.Until(woke)
-	b.Submit(old, key(2), askedAt(asked, of("k1", 0, tasks(1, 30, 5*time.Second))))
-	is.Equal(len(b.Take().Starts), 0)
+	sc.Submit(old, key(2), askedAt(asked, newJob("k1", 0, tasks(1, 30, 5*time.Second))))
+	is.Equal(len(sc.Take().Starts), 0)
 }
--- a/internal/task/owner/loss.go
+++ b/internal/task/owner/loss.go
@@ -7,77 +7,76 @@
 	"time"
 )
 
-// Loss is an endpoint that has fallen silent or was lost.
+// Loss is an endpoint that fell silent or was lost.
 type Loss struct {
-	Endpoint string        // id of one life
+	Endpoint string        // ID of one incarnation
 	Age      time.Duration // since the first sign
 }
 
-// loss is one of this owner or another.
+// loss is a Loss seen by this owner or reported by another.
 type loss struct {
-	at  time.Time // of the first sign
+	at  time.Time // first sign
 	own bool
 }
 
 const (
-	// lossKept is how long a loss is kept: until the lease of what ran there has run out, and all that fell
-	// silent about then is known.
-	lossKept = 4 * time.Second
-	// lossSame is up to how far apart two words of one loss may be: they are under way for different times.
-	lossSame = 500 * time.Millisecond
-	// mostLosses bounds those of a heartbeat. More say no more: no job was on most of so many.
-	mostLosses = 32
+	// lossRetention is how long a loss is kept: until the lease of its runs has run out and everything
+	// that fell silent at about the same time is known.
+	lossRetention = 4 * time.Second
+	// sameLossWindow is how far apart two reports of one loss may be, since their delays differ.
+	sameLossWindow = 500 * time.Millisecond
+	// maxLosses is the limit for one heartbeat. More add no information: no job ran on most of so many.
+	maxLosses = 32
 )
 
-// missed notes the first sign that an endpoint is lost and returns when that was.
-func (b *Book) missed(now time.Time, id string) time.Time {
-	l, ok := b.losses[id]
+// noteLoss records the first sign of an endpoint's loss, if it is new, and returns its time.
+func (sc *Book) noteLoss(now time.Time, id string) time.Time {
+	l, ok := sc.losses[id]
 	if !ok {
 		l = loss{now, true}
-		b.losses[id] = l
+		sc.losses[id] = l
 	}
 	return l.at
 }
 
-// found forgets the loss of an endpoint that answers again.
-func (b *Book) found(id string) {
-	if b.losses[id].own {
-		delete(b.losses, id)
+// clearLoss forgets this owner's loss of an endpoint that answers again.
+func (sc *Book) clearLoss(id string) {
+	if sc.losses[id].own {
+		delete(sc.losses, id)
 	}
 }
 
-// missing counts the endpoints that were lost about a time.
-func (b *Book) missing(at time.Time) (n int) {
-	for _, l := range b.losses {
-		if l.at.Sub(at).Abs() <= cohortFor {
+// countLosses returns how many endpoints were lost at about the given time.
+func (sc *Book) countLosses(at time.Time) (n int) {
+	for _, l := range sc.losses {
+		if l.at.Sub(at).Abs() <= outageWindow {
 			n++
 		}
 	}
 	return n
 }
 
-// Losses lists endpoints that this owner has lost lately, the newest first, for the others.
+// Losses lists the endpoints that this owner lost lately, the newest first, to be sent to the others.
 //
-// What goes wrong without it: endpoints of many owners go down in one moment. Each owner sees few of them, one
-// job was on most of those, and its tasks are suspected. One notices "task suspected" at many owners at once, and
-// jobs that are given up though nothing is wrong with them.
-func (b *Book) Losses(now time.Time) (all []Loss) {
-	for id, l := range b.losses {
+// Without it, when endpoints of many owners fail at once, each sees only a few, most of which ran the
+// same job, and suspects its tasks: "task suspected" at many owners, and innocent jobs given up.
+func (sc *Book) Losses(now time.Time) (all []Loss) {
+	for id, l := range sc.losses {
 		switch age := now.Sub(l.at); {
-		case age > lossKept:
-			delete(b.losses, id)
-		case l.own && age <= tellFor:
+		case age > lossRetention:
+			delete(sc.losses, id)
+		case l.own && age <= shareFor:
 			all = append(all, Loss{id, age})
 		}
 	}
 	slices.SortFunc(all, func(x, y Loss) int { return cmp.Or(cmp.Compare(x.Age, y.Age), strings.Compare(x.Endpoint, y.Endpoint)) })
-	return all[:min(len(all), mostLosses)]
+	return all[:min(len(all), maxLosses)]
 }
 
-// Miss takes in that another owner has lost an endpoint. One that goes down and up is lost anew each time.
-func (b *Book) Miss(now time.Time, l Loss) {
+// AddLoss records another owner's loss of an endpoint. Each restart of one is a new loss.
+func (sc *Book) Miss(now time.Time, l Loss) {
 	at := now.Add(-l.Age)
-	if old, ok := b.losses[l.Endpoint]; l.Age <= lossKept && (!ok || (!old.own && at.Sub(old.at) > lossSame)) {
-		b.losses[l.Endpoint] = loss{at: at}
+	if old, ok := sc.losses[l.Endpoint]; l.Age <= lossRetention && (!ok || (!old.own && at.Sub(old.at) > sameLossWindow)) {
+		sc.losses[l.Endpoint] = loss{at: at}
 	}
 }
--- a/internal/task/owner/needs_test.go
+++ b/internal/task/owner/needs_test.go
@@ -11,9 +11,9 @@
 	"dahliawinch/internal/task/job"
 )
 
-// Symptom: a deployment of small tasks refuses late jobs while a sixth of its cores is free, and
-// an endpoint that runs thirty of them is down to two after one failure. Cause: what tasks can
-// fill, and how many run at once, are those of a deployment of large ones.
+// If what tasks can fill, and how many run at once, are the figures of a deployment of large tasks, one
+// of small tasks refuses late jobs while a sixth of its cores is free, and an endpoint that runs thirty
+// of them is limited to two after one failure.
 func TestFillAndSlotsFollowTheNeeds(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -31,8 +31,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			var n needs
-			n.note(&batch.Job{Steps: []batch.Step{{Count: 3, Need: c.need}}})
+			var n needStats
+			n.add(&batch.Job{Steps: []batch.Step{{Count: 3, Need: c.need}}})
 			t.Log(n.fill(c.size)/c.size.Cores, n.slots(c.size))
 			is.True(math.Abs(n.fill(c.size)/c.size.Cores-c.fill) < 0.06)
 			is.Equal(n.slots(c.size), c.slots)
@@ -40,14 +40,14 @@
 	}
 }
 
-func TestSlotsAreCountedAnewWhenTheNeedsMove(t *testing.T) {
+func TestSlotsFollowChangedNeeds(t *testing.T) {
 	is := is.New(t)
-	b := bench(64)
-	is.Equal(b.order[0].slots, leastSlots)
-	b.Submit(t0, key(1), of("j1", 0, tasks(1, 2, time.Millisecond)))
-	is.Equal(b.order[0].slots, 32)
-	for n := range uint64(200) { // large tasks come
-		b.Submit(t0, key(2+n), of("j"+string(rune('A'+n)), 0, tasks(1, 30, time.Millisecond)))
+	sc := newScheduler(64)
+	is.Equal(sc.order[0].slots, minSlots)
+	sc.Submit(t0, key(1), newJob("j1", 0, tasks(1, 2, time.Millisecond)))
+	is.Equal(sc.order[0].slots, 32)
+	for n := range uint64(200) { // large tasks arrive
+		sc.Submit(t0, key(2+n), newJob("j"+string(rune('A'+n)), 0, tasks(1, 30, time.Millisecond)))
 	}
-	is.Equal(b.order[0].slots, leastSlots)
+	is.Equal(sc.order[0].slots, minSlots)
 }
--- a/internal/task/owner/owner_test.go
+++ b/internal/task/owner/owner_test.go
@@ -17,24 +17,24 @@
 )
 
 var (
-	t0      = time.Unix(1_700_000_000, 0)
-	home    = netip.MustParseAddrPort("10.0.0.9:1")
-	errMute = errors.New("no answer")
+	t0          = time.Unix(1_700_000_000, 0)
+	home        = netip.MustParseAddrPort("10.0.0.9:1")
+	errNoAnswer = errors.New("no answer")
 )
 
-// bench is a book with endpoints that are known and idle.
-func bench(cores ...float64) *Book {
-	b := New(Config{Limits: lease.Limits{Hold: time.Second, Stop: 50 * time.Millisecond}, Far: 2, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
+// newScheduler returns a scheduler with endpoints that are known and idle.
+func newScheduler(cores ...float64) *Book {
+	sc := New(Config{Limits: lease.Limits{Hold: time.Second, Stop: 50 * time.Millisecond}, Far: 2, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	for i, c := range cores {
 		id := string(rune('a' + i))
-		b.Own(lease.Info{
+		sc.Own(lease.Info{
 			ID: id, Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, 0, byte(i)}), 80), Pool: "p",
 			Labels: []string{"rack-" + id}, Size: job.Size{Cores: c, Memory: 64},
 		}, 7)
-		b.Renewed(t0, t0, b.Find(id), lease.Report{Clock: 1000})
+		sc.Renewed(t0, t0, sc.Find(id), lease.Report{Clock: 1000})
 	}
-	b.Take()
-	return b
+	sc.Take()
+	return sc
 }
 
 func key(n uint64) Key { return Key{VM: home, Inc: 1, Call: n} }
@@ -43,21 +43,21 @@
 	return batch.Step{Count: n, Need: job.Size{Cores: cores}, Run: run}
 }
 
-func of(id string, rank int, steps ...batch.Step) *batch.Job {
+func newJob(id string, rank int, steps ...batch.Step) *batch.Job {
 	return &batch.Job{ID: id, Queue: "q" + id[:1], Pool: "p", Rank: rank, Attempts: 3, Stretch: 1.6, Slack: 60 * time.Millisecond, Left: 3 * time.Second, Steps: steps}
 }
 
 // begin confirms all starts.
-func begin(b *Book, now time.Time, starts []Start) {
+func begin(sc *Book, now time.Time, starts []Start) {
 	for _, s := range starts {
-		b.Started(now, s.At, s.Run)
+		sc.Started(now, s.At, s.Run)
 	}
 }
 
 var serial = map[*lease.Endpoint]int64{}
 
-// finish lets a run end.
-func finish(b *Book, now time.Time, s Start, how lease.How) {
+// finish reports the end of a run.
+func finish(sc *Book, now time.Time, s Start, how lease.How) {
 	serial[s.At]++
 	r := lease.Report{Clock: 2000, Ended: []lease.Ended{{Serial: serial[s.At], Name: s.Run.Name, Num: s.Run.Num, How: how}}}
 	for _, x := range s.At.Runs {
@@ -65,298 +65,292 @@
 			r.Running = append(r.Running, lease.Listed{Name: x.Name, Num: x.Num, Percent: 50})
 		}
 	}
-	b.Renewed(now, now, s.At, r)
+	sc.Renewed(now, now, s.At, r)
 }
 
-func TestTasksArePackedAndTheJobIsDoneWithItsLast(t *testing.T) {
+func TestTasksArePackedAndJobEndsWithLast(t *testing.T) {
 	is := is.New(t)
-	b := bench(64, 96)
-	b.Submit(t0, key(1), of("j1", 0, tasks(5, 30, 100*time.Millisecond)))
-	a := b.Take()
-	is.Equal(len(a.Starts), 5) // 64 takes two, 96 three
-	begin(b, t0, a.Starts)
+	sc := newScheduler(64, 96)
+	sc.Submit(t0, key(1), newJob("j1", 0, tasks(5, 30, 100*time.Millisecond)))
+	a := sc.Take()
+	is.Equal(len(a.Starts), 5) // 64 cores fit two, 96 three
+	begin(sc, t0, a.Starts)
 	for i, s := range a.Starts {
-		finish(b, t0.Add(100*time.Millisecond), s, lease.Done)
-		is.Equal(len(b.Take().Tells), i/4)
+		finish(sc, t0.Add(100*time.Millisecond), s, lease.Done)
+		is.Equal(len(sc.Take().Tells), i/4)
 	}
-	is.Equal(b.Jobs(), 0)
+	is.Equal(sc.Jobs(), 0)
 }
 
 func TestUrgentJobsStartFirstWhenRoomComes(t *testing.T) {
 	is := is.New(t)
-	b := bench(30)
-	b.Submit(t0, key(1), of("x1", 1, tasks(1, 30, 50*time.Millisecond)))
-	first := b.Take().Starts
-	begin(b, t0, first)
-	b.Submit(t0, key(2), of("y1", 2, tasks(1, 30, 500*time.Millisecond)))
-	b.Submit(t0, key(3), of("z1", 0, tasks(1, 30, 50*time.Millisecond)))
-	is.Equal(len(b.Take().Starts), 0)
-	finish(b, t0.Add(50*time.Millisecond), first[0], lease.Done)
-	next := b.Take().Starts
+	sc := newScheduler(30)
+	sc.Submit(t0, key(1), newJob("x1", 1, tasks(1, 30, 50*time.Millisecond)))
+	first := sc.Take().Starts
+	begin(sc, t0, first)
+	sc.Submit(t0, key(2), newJob("y1", 2, tasks(1, 30, 500*time.Millisecond)))
+	sc.Submit(t0, key(3), newJob("z1", 0, tasks(1, 30, 50*time.Millisecond)))
+	is.Equal(len(sc.Take().Starts), 0)
+	finish(sc, t0.Add(50*time.Millisecond), first[0], lease.Done)
+	next := sc.Take().Starts
 	is.Equal(len(next), 1)
 	is.Equal(next[0].Run.Task.Job, "z1")
 }
 
-// Symptom: jobs wait for seconds and are then refused. Sequence: more work comes than
-// can be done. Cause: it is not foreseen when the job comes.
+// More work arrives than can be done. If that is not predicted on arrival, jobs wait for seconds and
+// are refused then.
 func TestJobThatCannotEndInTimeIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
-	b := bench(30)
+	sc := newScheduler(30)
 	n := uint64(0)
 	refused := 0
 	for range 30 {
 		n++
-		b.Submit(t0, key(n), of("w"+string(rune('a'+n)), 1, tasks(1, 30, 200*time.Millisecond)))
-		for _, tell := range b.Take().Tells {
-			is.Equal(tell.Answer.Outcome, job.Refused)
-			is.Equal(tell.Answer.Reason, job.Overload)
-			is.True(tell.Answer.Retry > 0)
+		sc.Submit(t0, key(n), newJob("w"+string(rune('a'+n)), 1, tasks(1, 30, 200*time.Millisecond)))
+		for _, reply := range sc.Take().Tells {
+			is.Equal(reply.Answer.Outcome, job.Refused)
+			is.Equal(reply.Answer.Reason, job.Overload)
+			is.True(reply.Answer.Retry > 0)
 			refused++
 		}
 	}
 	is.True(refused >= 20)
 }
 
-// Symptom: a caller is told that its job did not run, and it did. Sequence: a start gets
-// no answer; the caller leaves or its time runs out. Cause: nothing was confirmed, so
-// nothing is thought to have begun.
-func TestUnansweredStartIsNeverCalledNotRun(t *testing.T) {
+// A start gets no answer, then the caller leaves or its time runs out. If only confirmed starts count
+// as begun, the caller is told that its job did not run though it may have.
+func TestUnansweredStartIsNeverReportedRefused(t *testing.T) {
 	is := is.New(t)
-	b := bench(64)
-	b.Submit(t0, key(1), of("j1", 0, tasks(1, 30, 100*time.Millisecond)))
-	s := b.Take().Starts[0]
-	b.Unsure(t0, s.At, s.Run, errMute)
-	b.Cancel(t0, key(1), "its caller left")
-	a := b.Take()
+	sc := newScheduler(64)
+	sc.Submit(t0, key(1), newJob("j1", 0, tasks(1, 30, 100*time.Millisecond)))
+	s := sc.Take().Starts[0]
+	sc.Unsure(t0, s.At, s.Run, errNoAnswer)
+	sc.Cancel(t0, key(1), "its caller left")
+	a := sc.Take()
 	is.Equal(a.Tells[0].Answer.Outcome, job.Unknown)
 	is.True(len(a.Stops) > 0)
 }
 
 func TestRefusedStartIsTriedElsewhere(t *testing.T) {
 	is := is.New(t)
-	b := bench(64, 64)
-	b.Submit(t0, key(1), of("j1", 0, tasks(1, 30, 100*time.Millisecond)))
-	s := b.Take().Starts[0]
-	b.Refused(t0, s.At, s.Run, agent.NoRoom)
-	next := b.Take().Starts
+	sc := newScheduler(64, 64)
+	sc.Submit(t0, key(1), newJob("j1", 0, tasks(1, 30, 100*time.Millisecond)))
+	s := sc.Take().Starts[0]
+	sc.Refused(t0, s.At, s.Run, agent.NoRoom)
+	next := sc.Take().Starts
 	is.Equal(len(next), 1)
 	is.True(next[0].At != s.At)
 	is.Equal(next[0].Run.Num, 2)
-	b.Unsent(t0, next[0].At, next[0].Run, errMute)
-	b.Cancel(t0, key(1), "its caller left")
-	is.Equal(b.Take().Tells[0].Answer.Outcome, job.Refused) // nothing ever began
+	sc.Unsent(t0, next[0].At, next[0].Run, errNoAnswer)
+	sc.Cancel(t0, key(1), "its caller left")
+	is.Equal(sc.Take().Tells[0].Answer.Outcome, job.Refused) // nothing ever began
 }
 
 func TestJobFailsAfterItsAttempts(t *testing.T) {
 	is := is.New(t)
-	b := bench(64)
-	b.Submit(t0, key(1), of("j1", 0, tasks(1, 30, 100*time.Millisecond)))
+	sc := newScheduler(64)
+	sc.Submit(t0, key(1), newJob("j1", 0, tasks(1, 30, 100*time.Millisecond)))
 	now := t0
 	for i := range 3 {
-		a := b.Take()
+		a := sc.Take()
 		is.Equal(len(a.Starts), 1)
 		is.Equal(a.Starts[0].Run.Num, i+1)
-		begin(b, now, a.Starts)
+		begin(sc, now, a.Starts)
 		now = now.Add(10 * time.Millisecond)
-		finish(b, now, a.Starts[0], lease.Failed)
+		finish(sc, now, a.Starts[0], lease.Failed)
 	}
-	a := b.Take()
+	a := sc.Take()
 	is.Equal(a.Tells[0].Answer.Outcome, job.Failed)
 	is.Equal(len(a.Starts), 0)
 }
 
-// Symptom: a task runs twice. Sequence: a caller's connection breaks, its job is being
-// stopped, and the caller submits it again. Cause: the new job starts beside the old runs.
-// What happens: a task that has failed at two endpoints is tried at one of these a third time, though a good
-// one has room, and its job is called failed. Why: a run that began before an endpoint turned bad is done
-// there after the failure, and took the mark of the failure away. What showed it: "run failed" of runs 2 and
-// 3 of one task at the same endpoint, 205 ms apart.
-func TestRunFromBeforeTheFailureProvesNothing(t *testing.T) {
+// A run that began before an endpoint broke is done after another one failed there. If that clears the
+// failure, a task that failed on two endpoints is tried on one of them again, though a good one has room, and
+// its job fails. Seen as "run failed" of runs 2 and 3 of one task at one endpoint, 205 ms apart.
+func TestOlderRunDoesNotClearFailure(t *testing.T) {
 	is := is.New(t)
-	b := bench(64, 64, 64)
+	sc := newScheduler(64, 64, 64)
 	at := func(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
-	b.Submit(t0, key(1), of("a1", 0, tasks(1, 30, 200*time.Millisecond)))
-	old := b.Take().Starts[0]
-	begin(b, t0, []Start{old})
-	b.Submit(at(1), key(2), of("b1", 0, tasks(1, 30, 200*time.Millisecond)))
-	first := b.Take().Starts[0]
-	begin(b, at(1), []Start{first})
+	sc.Submit(t0, key(1), newJob("a1", 0, tasks(1, 30, 200*time.Millisecond)))
+	old := sc.Take().Starts[0]
+	begin(sc, t0, []Start{old})
+	sc.Submit(at(1), key(2), newJob("b1", 0, tasks(1, 30, 200*time.Millisecond)))
+	first := sc.Take().Starts[0]
+	begin(sc, at(1), []Start{first})
 	is.Equal(first.At, old.At)
-	finish(b, at(30), first, lease.Failed)
-	second := b.Take().Starts[0]
-	begin(b, at(30), []Start{second})
-	finish(b, at(40), old, lease.Done)
-	finish(b, at(60), second, lease.Failed)
-	b.Tick(at(400))
-	third := b.Take().Starts[0]
+	finish(sc, at(30), first, lease.Failed)
+	second := sc.Take().Starts[0]
+	begin(sc, at(30), []Start{second})
+	finish(sc, at(40), old, lease.Done)
+	finish(sc, at(60), second, lease.Failed)
+	sc.Tick(at(400))
+	third := sc.Take().Starts[0]
 	is.True(third.At != first.At)
 	is.True(third.At != second.At)
 }
 
+// A caller's connection breaks and it submits its job again while that is being stopped. If the new
+// job starts beside the old runs, a task runs twice.
 func TestJobSubmittedAgainWaitsForItsOldRuns(t *testing.T) {
 	is := is.New(t)
-	b := bench(64)
-	b.Submit(t0, key(1), of("j1", 0, tasks(1, 30, 100*time.Millisecond)))
-	s := b.Take().Starts[0]
-	begin(b, t0, []Start{s})
-	b.Submit(t0, key(2), of("j1", 0, tasks(1, 30, 100*time.Millisecond)))
-	a := b.Take()
+	sc := newScheduler(64)
+	sc.Submit(t0, key(1), newJob("j1", 0, tasks(1, 30, 100*time.Millisecond)))
+	s := sc.Take().Starts[0]
+	begin(sc, t0, []Start{s})
+	sc.Submit(t0, key(2), newJob("j1", 0, tasks(1, 30, 100*time.Millisecond)))
+	a := sc.Take()
 	is.Equal(len(a.Starts), 0)
 	is.Equal(a.Tells[0].Answer.Outcome, job.Unknown)  // the first
-	is.Equal(a.Tells[1].Answer.Reason, job.StillRuns) // the second: come back soon
-	finish(b, t0, s, lease.Gone)
-	b.Submit(t0, key(3), of("j1", 0, tasks(1, 30, 100*time.Millisecond)))
-	again := b.Take().Starts
+	is.Equal(a.Tells[1].Answer.Reason, job.StillRuns) // the second: retry soon
+	finish(sc, t0, s, lease.Gone)
+	sc.Submit(t0, key(3), newJob("j1", 0, tasks(1, 30, 100*time.Millisecond)))
+	again := sc.Take().Starts
 	is.Equal(len(again), 1)
 	is.True(again[0].Run.Num > s.Run.Num)
 }
 
 func TestStepsLabelsSpreadAndGangs(t *testing.T) {
 	is := is.New(t)
-	b := bench(64, 64)
+	sc := newScheduler(64, 64)
 	second := tasks(1, 10, 50*time.Millisecond)
 	second.After = []int{0}
-	b.Submit(t0, key(1), of("j1", 0, tasks(1, 10, 50*time.Millisecond), second))
-	s := b.Take().Starts
+	sc.Submit(t0, key(1), newJob("j1", 0, tasks(1, 10, 50*time.Millisecond), second))
+	s := sc.Take().Starts
 	is.Equal(len(s), 1)
-	begin(b, t0, s)
-	finish(b, t0, s[0], lease.Done)
-	s = b.Take().Starts
+	begin(sc, t0, s)
+	finish(sc, t0, s[0], lease.Done)
+	s = sc.Take().Starts
 	is.Equal(s[0].Run.Step, 1)
-	begin(b, t0, s)
-	finish(b, t0, s[0], lease.Done)
-	b.Take()
+	begin(sc, t0, s)
+	finish(sc, t0, s[0], lease.Done)
+	sc.Take()
 
 	label := tasks(2, 10, 50*time.Millisecond)
 	label.Label = "rack-b"
-	b.Submit(t0, key(2), of("l1", 0, label))
-	for _, x := range b.Take().Starts {
+	sc.Submit(t0, key(2), newJob("l1", 0, label))
+	for _, x := range sc.Take().Starts {
 		is.Equal(x.At.ID, "b")
 	}
 	spread := tasks(2, 10, 50*time.Millisecond)
 	spread.Spread = 1
-	b.Submit(t0, key(3), of("s1", 0, spread))
-	x := b.Take().Starts
+	sc.Submit(t0, key(3), newJob("s1", 0, spread))
+	x := sc.Take().Starts
 	is.True(len(x) == 2 && x[0].At != x[1].At)
 	gang := tasks(4, 30, 50*time.Millisecond) // two fit here, one there
 	gang.Gang = true
-	b.Submit(t0, key(4), of("g1", 0, gang))
-	is.Equal(len(b.Take().Starts), 0)
+	sc.Submit(t0, key(4), newJob("g1", 0, gang))
+	is.Equal(len(sc.Take().Starts), 0)
 	missing := tasks(1, 10, 50*time.Millisecond)
 	missing.Label = "rack-z"
-	b.Submit(t0, key(5), of("m1", 0, missing))
-	is.Equal(b.Take().Tells[0].Answer.Reason, job.NoEndpoint)
+	sc.Submit(t0, key(5), newJob("m1", 0, missing))
+	is.Equal(sc.Take().Tells[0].Answer.Reason, job.NoEndpoint)
 }
 
-func TestGivenEndpointsGetOnlyJobsThatHaveBegun(t *testing.T) {
+func TestHandedOverEndpointsGetOnlyBegunJobs(t *testing.T) {
 	is := is.New(t)
-	b := bench(64)
-	b.Submit(t0, key(1), of("j1", 0, tasks(3, 30, 100*time.Millisecond)))
-	s := b.Take().Starts
+	sc := newScheduler(64)
+	sc.Submit(t0, key(1), newJob("j1", 0, tasks(3, 30, 100*time.Millisecond)))
+	s := sc.Take().Starts
 	is.Equal(len(s), 2)
-	begin(b, t0, s)
-	b.Give("a")
-	b.Submit(t0, key(2), of("k1", 0, tasks(1, 4, 100*time.Millisecond)))
-	a := b.Take()
+	begin(sc, t0, s)
+	sc.Give("a")
+	sc.Submit(t0, key(2), newJob("k1", 0, tasks(1, 4, 100*time.Millisecond)))
+	a := sc.Take()
 	is.Equal(a.Tells[0].Answer.Outcome, job.Refused)
-	is.Equal(len(b.Release()), 0)
-	finish(b, t0, s[0], lease.Done)
-	s2 := b.Take().Starts
+	is.Equal(len(sc.Release()), 0)
+	finish(sc, t0, s[0], lease.Done)
+	s2 := sc.Take().Starts
 	is.Equal(len(s2), 1) // the job's third task
-	begin(b, t0, s2)
-	finish(b, t0, s[1], lease.Done)
-	finish(b, t0, s2[0], lease.Done)
-	at := b.Find("a")
-	b.Renewed(t0, t0, at, lease.Report{Clock: 3000}) // the last end is taken note of
-	is.Equal(b.Release(), []string{"a"})
+	begin(sc, t0, s2)
+	finish(sc, t0, s[1], lease.Done)
+	finish(sc, t0, s2[0], lease.Done)
+	at := sc.Find("a")
+	sc.Renewed(t0, t0, at, lease.Report{Clock: 3000}) // acknowledges the last end
+	is.Equal(sc.Release(), []string{"a"})
 }
 
 func TestLostEndpointsTasksStartElsewhere(t *testing.T) {
 	is := is.New(t)
-	b := bench(64, 64)
-	b.Submit(t0, key(1), of("j1", 0, tasks(1, 30, 100*time.Millisecond)))
-	s := b.Take().Starts
-	begin(b, t0, s)
-	b.Lose(t0, s[0].At.ID, false, "another VM owns it")
-	is.Equal(len(b.Take().Starts), 0) // it may run until the lease ends
-	b.Tick(t0.Add(time.Second))
-	next := b.Take().Starts
+	sc := newScheduler(64, 64)
+	sc.Submit(t0, key(1), newJob("j1", 0, tasks(1, 30, 100*time.Millisecond)))
+	s := sc.Take().Starts
+	begin(sc, t0, s)
+	sc.Lose(t0, s[0].At.ID, false, "another VM owns it")
+	is.Equal(len(sc.Take().Starts), 0) // it may run until the lease ends
+	sc.Tick(t0.Add(time.Second))
+	next := sc.Take().Starts
 	is.Equal(len(next), 1)
 	is.True(next[0].At.ID != s[0].At.ID)
-	begin(b, t0.Add(time.Second), next)
-	b.Lose(t0.Add(time.Second), next[0].At.ID, true, "it was restarted")
-	is.Equal(b.Jobs(), 1) // and waits for an endpoint
+	begin(sc, t0.Add(time.Second), next)
+	sc.Lose(t0.Add(time.Second), next[0].At.ID, true, "it was restarted")
+	is.Equal(sc.Jobs(), 1) // it waits for an endpoint
 }
 
-// Symptom: in a burst most jobs are late, though the endpoints could do most of them in
-// time. Sequence: more work comes than the endpoints can do; a job that will be late waits
-// behind the others, takes what is free for a moment, and the next in time waits for it.
-// Cause: late jobs are begun whenever there is room. While less comes than can be done they
-// use what would stay idle.
+// More work arrives than the endpoints can do. If late jobs start whenever there is room, they take it
+// and jobs that are in time wait for them: in a burst most jobs are late, though most could be in time.
+// While less arrives than can be done, late jobs use idle room.
 func TestLateJobIsRefusedOnlyWhileMoreComesThanCanBeDone(t *testing.T) {
 	is := is.New(t)
-	late := of("l1", 1, tasks(1, 27, 100*time.Millisecond))
-	calm := bench(64)
-	for _, id := range []string{"a1", "a2"} { // the one endpoint is full for 0.3 s
-		calm.Submit(t0, key(uint64(id[1])), of(id, 0, tasks(1, 27, 300*time.Millisecond)))
+	late := newJob("l1", 1, tasks(1, 27, 100*time.Millisecond))
+	calm := newScheduler(64)
+	for _, id := range []string{"a1", "a2"} { // the only endpoint is full for 0.3 s
+		calm.Submit(t0, key(uint64(id[1])), newJob(id, 0, tasks(1, 27, 300*time.Millisecond)))
 	}
 	then := t0.Add(195 * time.Millisecond)
 	calm.Submit(then, key(9), late)
 	is.Equal(len(calm.Take().Tells), 0) // it waits
-	crowd := bench(64)
+	crowd := newScheduler(64)
 	for _, id := range []string{"a1", "a2"} {
-		crowd.Submit(t0, key(uint64(id[1])), of(id, 0, tasks(1, 27, 300*time.Millisecond)))
+		crowd.Submit(t0, key(uint64(id[1])), newJob(id, 0, tasks(1, 27, 300*time.Millisecond)))
 	}
 	for _, id := range []string{"a3", "a4", "a5", "a6"} {
-		crowd.Submit(then, key(uint64(id[1])), of(id, 0, tasks(1, 27, 300*time.Millisecond)))
+		crowd.Submit(then, key(uint64(id[1])), newJob(id, 0, tasks(1, 27, 300*time.Millisecond)))
 	}
 	crowd.Take()
 	crowd.Submit(then, key(9), late)
-	told := crowd.Take().Tells
-	is.Equal(len(told), 1)
-	is.Equal(told[0].Answer.Outcome, job.Refused)
-	is.True(told[0].Answer.Retry > 0)
+	replies := crowd.Take().Tells
+	is.Equal(len(replies), 1)
+	is.Equal(replies[0].Answer.Outcome, job.Refused)
+	is.True(replies[0].Answer.Retry > 0)
 }
 
-// Symptom: on a quiet day a job is refused though nobody else waits. Sequence: jobs too wide
-// to be done in time are refused; the next would be a little late. Cause: work that was
-// turned away counts as pressure, and there is nobody whom the late job could hold up.
-func TestLateJobIsTakenWhileNobodyInTimeWaits(t *testing.T) {
+// Jobs too wide to be done in time are refused, and the next would be a little late. If refused work
+// counts as pressure, it is refused on a quiet day, though it would delay nobody.
+func TestLateJobIsAcceptedWhileNobodyWaits(t *testing.T) {
 	is := is.New(t)
-	b := bench(64)
+	sc := newScheduler(64)
 	for _, id := range []string{"a1", "a2"} {
-		b.Submit(t0, key(uint64(id[1])), of(id, 0, tasks(1, 27, 300*time.Millisecond)))
+		sc.Submit(t0, key(uint64(id[1])), newJob(id, 0, tasks(1, 27, 300*time.Millisecond)))
 	}
-	begin(b, t0, b.Take().Starts)
+	begin(sc, t0, sc.Take().Starts)
 	then := t0.Add(195 * time.Millisecond)
 	for n := range uint64(3) {
-		b.Submit(then, key(20+n), of("w"+string(rune('a'+n)), 0, tasks(8, 27, 100*time.Millisecond)))
+		sc.Submit(then, key(20+n), newJob("w"+string(rune('a'+n)), 0, tasks(8, 27, 100*time.Millisecond)))
 	}
-	is.Equal(len(b.Take().Tells), 3) // refused
-	b.Submit(then, key(9), of("l1", 1, tasks(1, 27, 100*time.Millisecond)))
-	is.Equal(len(b.Take().Tells), 0)
+	is.Equal(len(sc.Take().Tells), 3) // refused
+	sc.Submit(then, key(9), newJob("l1", 1, tasks(1, 27, 100*time.Millisecond)))
+	is.Equal(len(sc.Take().Tells), 0)
 }
 
-// Symptom: a caller hears that its job was given up only when most of its time is over.
-// Sequence: a job is taken, waits, and can't be in time any more while the load is over
-// what can be done. Cause: it is held for as long as an answer is of any use.
+// A job is accepted, waits, and can't be in time any more while the pool is overloaded. If it is held
+// as long as an answer is of any use, its caller learns of the refusal when most of its time is over.
 func TestWaitingJobIsRefusedWhenItsObjectiveIsLost(t *testing.T) {
 	is := is.New(t)
-	b := bench(64)
+	sc := newScheduler(64)
 	for _, id := range []string{"a1", "a2"} {
-		b.Submit(t0, key(uint64(id[1])), of(id, 0, tasks(1, 27, 300*time.Millisecond)))
+		sc.Submit(t0, key(uint64(id[1])), newJob(id, 0, tasks(1, 27, 300*time.Millisecond)))
 	}
-	first := b.Take().Starts
-	begin(b, t0, first)
+	first := sc.Take().Starts
+	begin(sc, t0, first)
 	then := t0.Add(200 * time.Millisecond)
-	b.Submit(then, key(9), of("w1", 1, tasks(1, 27, 600*time.Millisecond))) // it can wait 0.34 s
-	is.Equal(len(b.Take().Tells), 0)
-	for n := range uint64(8) { // urgent ones come meanwhile
-		b.Submit(then.Add(50*time.Millisecond), key(20+n), of("u"+string(rune('a'+n)), 0, tasks(1, 27, 300*time.Millisecond)))
+	sc.Submit(then, key(9), newJob("w1", 1, tasks(1, 27, 600*time.Millisecond))) // it can wait 0.34 s
+	is.Equal(len(sc.Take().Tells), 0)
+	for n := range uint64(8) { // urgent ones arrive meanwhile
+		sc.Submit(then.Add(50*time.Millisecond), key(20+n), newJob("u"+string(rune('a'+n)), 0, tasks(1, 27, 300*time.Millisecond)))
 	}
-	b.Take()
+	sc.Take()
 	refused := func() (n int) {
-		for _, x := range b.Take().Tells {
+		for _, x := range sc.Take().Tells {
 			if x.Key == key(9) {
 				is.Equal(x.Answer.Outcome, job.Refused)
 				n++
@@ -364,25 +358,25 @@
 		}
 		return n
 	}
-	b.Tick(then.Add(290 * time.Millisecond))
+	sc.Tick(then.Add(290 * time.Millisecond))
 	is.Equal(refused(), 0)
-	b.Tick(then.Add(360 * time.Millisecond))
+	sc.Tick(then.Add(360 * time.Millisecond))
 	is.Equal(refused(), 1)
 }
 
-// Guards against tasks that wait for the lease though the next owner has stopped them. The bound is what a stop
-// takes, and two heartbeats.
-func TestTasksOfATakenEndpointGoOnSoon(t *testing.T) {
+// Guards against tasks that wait for the lease though the next owner has stopped their runs. The bound is the
+// time of a stop and two heartbeats.
+func TestTasksRestartSoonAfterTakeover(t *testing.T) {
 	is := is.New(t)
-	b := bench(64, 64)
-	b.Submit(t0, key(1), of("j1", 0, tasks(1, 30, 200*time.Millisecond)))
-	a := b.Take()
-	begin(b, t0, a.Starts)
+	sc := newScheduler(64, 64)
+	sc.Submit(t0, key(1), newJob("j1", 0, tasks(1, 30, 200*time.Millisecond)))
+	a := sc.Take()
+	begin(sc, t0, a.Starts)
 	now := t0.Add(50 * time.Millisecond)
 	taken := a.Starts[0]
-	b.Lose(now, taken.At.ID, false, "another VM owns it")
-	b.Take()
-	next := bench()
+	sc.Lose(now, taken.At.ID, false, "another VM owns it")
+	sc.Take()
+	next := newScheduler()
 	next.Own(taken.At.Info, taken.Fence+1)
 	next.Renewed(now, now, next.Find(taken.At.ID), lease.Report{Clock: 1050, Running: []lease.Listed{{Name: taken.Run.Name, Num: taken.Run.Num}}})
 	is.Equal(len(next.Take().Stops), 1)
@@ -390,12 +384,12 @@
 	stopped := now.Add(50 * time.Millisecond)
 	next.Renewed(stopped, stopped, next.Find(taken.At.ID), lease.Report{Clock: 1100})
 	next.Cleared(stopped.Add(100 * time.Millisecond)) // this heartbeat is lost
-	b.Tick(now.Add(249 * time.Millisecond))
-	is.Equal(len(b.Take().Starts), 0) // before it hears that nothing runs there any more
+	sc.Tick(now.Add(249 * time.Millisecond))
+	is.Equal(len(sc.Take().Starts), 0) // not before it learns that nothing runs there any more
 	for _, c := range next.Cleared(stopped.Add(200 * time.Millisecond)) {
-		b.Yield(now.Add(250*time.Millisecond), c)
+		sc.Yield(now.Add(250*time.Millisecond), c)
 	}
-	b.Tick(now.Add(250 * time.Millisecond))
-	a = b.Take()
+	sc.Tick(now.Add(250 * time.Millisecond))
+	a = sc.Take()
 	is.Equal(len(a.Starts)+len(a.Tells), 1)
 }
--- a/internal/task/owner/progress.go
+++ b/internal/task/owner/progress.go
@@ -8,68 +8,67 @@
 )
 
 const (
-	// lookAfter is the part of its expected time after which a run's progress is looked at:
-	// most runs have more than half of their work behind them then, and a run on an endpoint
-	// that has turned slow by three has less than a quarter.
-	lookAfter = 0.7
-	// crawl is the run time in percent of the usual from which an endpoint is slow: no job
-	// meets its objective there that it would meet elsewhere. Endpoints differ by a factor of
-	// 1.6, and a run away from its data takes twice as long.
-	crawl = 250
-	// trialEvery is how often a job in time is begun on a slow endpoint, so that one that is fast
-	// again is noticed. Jobs that are late anyway may use it at any time.
-	trialEvery = 2 * time.Second
-	// moveOver is how many times its usual time a run must have before it to be worth
-	// beginning anew elsewhere, and moveCost what the change takes: a stop and two orders.
-	moveOver = 1.5
-	moveCost = 60 * time.Millisecond
-	// leastPercent is what a run without visible progress is taken to have done.
-	leastPercent = 5
+	// judgeAfterPart is the part of its expected time after which a run's progress is judged: by then most
+	// runs have done more than half of their work, and a run on an endpoint that has become three times
+	// slower less than a quarter.
+	judgeAfterPart = 0.7
+	// slowPercent is the run time, in percent of the usual one, from which an endpoint counts as slow: no
+	// job meets its objective there that would meet it elsewhere. Endpoints differ by a factor of 1.6, and
+	// a run away from its data takes twice as long.
+	slowPercent = 250
+	// slowTrialInterval is how often a job that is in time may start a task on a slow endpoint, to detect
+	// its recovery. Late jobs may use it at any time.
+	slowTrialInterval = 2 * time.Second
+	// moveFactor is how many times its usual time a run must still need to be worth restarting elsewhere,
+	// and moveCost the time that a move takes: a stop and two orders.
+	moveFactor = 1.5
+	moveCost   = 60 * time.Millisecond
+	// minPercent is the progress assumed for a run that shows none.
+	minPercent = 5
 )
 
-// crawls reports whether an endpoint is far slower than the others.
-func (b *Book) crawls(s *site) bool { return b.health.Slow(s.Addr) >= crawl }
+// isSlow reports whether an endpoint is far slower than the others.
+func (sc *Book) isSlow(s *endpoint) bool { return sc.health.Slow(s.Addr) >= slowPercent }
 
-// progress judges an endpoint by the runs that it has just listed.
+// judgeProgress updates an endpoint's health from the progress of the runs that it has just listed.
 //
-// What goes wrong without it: an endpoint that turns slow is known by runs that have ended,
-// and those take the longest just there; meanwhile it is given more. One notices late jobs
-// whose slowest runs share an endpoint. A run tells its endpoint's speed long before its end: while
-// eight of 48 endpoints take 6.5 times as long, 0.96 of the worth is earned instead of 0.91
+// Ended runs show too late that an endpoint has become slow: they take longest there, and it gets more
+// work meanwhile. Late jobs have their slowest runs on one endpoint. Progress shows the speed early:
+// while eight of 48 endpoints take 6.5 times as long, 0.96 of the worth is earned instead of 0.91
 // (TestSlowEndpointsAreKnownByRunsThatGoOn).
-func (b *Book) progress(now time.Time, s *site) {
+func (sc *Book) judgeProgress(now time.Time, s *endpoint) {
 	for _, r := range s.Runs {
 		e := r.Job.(*entry)
-		if e.told || r.Stage != lease.On || !r.Seen.Equal(now) {
+		if e.answered || r.Stage != lease.On || !r.Seen.Equal(now) {
 			continue
 		}
-		usual := b.expect(e.Job, &e.Steps[r.Step])
+		usual := sc.expect(e.Job, &e.Steps[r.Step])
 		ran := now.Sub(r.At)
-		if ran < time.Duration(lookAfter*float64(usual)) {
+		if ran < time.Duration(judgeAfterPart*float64(usual)) {
 			continue
 		}
-		whole := ran * 100 / time.Duration(max(leastPercent, r.Percent))
+		estimate := ran * 100 / time.Duration(max(minPercent, r.Percent))
 		if !r.Judged {
 			r.Judged = true
-			b.assess(now, health.Report{Addr: s.Addr, Kind: e.Pool + "/" + e.Queue, End: health.Going, Ran: whole, Usual: usual}, s.ID)
+			sc.reportHealth(now, health.Report{Addr: s.Addr, Kind: e.Pool + "/" + e.Queue, End: health.Going, Ran: estimate, Usual: usual}, s.ID)
 		}
-		if b.crawls(s) && whole-ran > time.Duration(moveOver*float64(usual))+moveCost {
-			b.move(now, e, s, r)
+		if sc.isSlow(s) && estimate-ran > time.Duration(moveFactor*float64(usual))+moveCost {
+			sc.move(now, e, s, r)
 		}
 	}
 }
 
-// move stops a run on a slow endpoint if its task would end sooner elsewhere, where there is
-// room now. Each job is moved once for each of its tasks at most.
-func (b *Book) move(now time.Time, e *entry, s *site, r *lease.Run) {
+// move stops a run on a slow endpoint if its task would end sooner on another one that has room now.
+// A job is moved at most as many times as it has tasks.
+func (sc *Book) move(now time.Time, e *entry, s *endpoint, r *lease.Run) {
 	st := &e.Steps[r.Step]
 	if e.moves >= e.Tasks() || st.Gang {
 		return
 	}
-	if to := b.pick(now, e, st, r.Task); to == nil || b.crawls(to) {
+	if to := sc.pick(now, e, st, r.Task); to == nil || sc.isSlow(to) {
 		return
 	}
 	e.moves++
-	b.cfg.Log.Info("run moved", "job", e.ID, "task", r.Name, "run", r.Num, "endpoint", s.ID, "percent", r.Percent, "after", now.Sub(r.At).Round(time.Millisecond), "slow", b.health.Slow(s.Addr))
-	b.stop(s.Endpoint, r)
+	sc.cfg.Log.Info("run moved", "job", e.ID, "task", r.Name, "run", r.Num, "endpoint", s.ID, "percent", r.Percent, "after", now.Sub(r.At).Round(time.Millisecond), "slow_percent", sc.health.Slow(s.Addr))
+	sc.stop(s.Endpoint, r)
 }
--- a/internal/task/owner/suspect.go
+++ b/internal/task/owner/suspect.go
@@ -8,39 +8,38 @@
 // Suspect is a task under which endpoints were lost.
 type Suspect struct {
 	Task string
-	Lost int // endpoints
+	Lost int // number of endpoints
 }
 
-// news is a suspicion that other owners may not have heard of.
-type news struct {
+// suspicion is a Suspect to be shared with other owners.
+type suspicion struct {
 	at time.Time
 	Suspect
 }
 
-// tellFor is how long a suspicion is told: longer than it takes any VM to hear several heartbeats.
-const tellFor = 2 * time.Second
+// shareFor is how long a Suspect or Loss is sent: long enough for every VM to get several heartbeats.
+const shareFor = 2 * time.Second
 
-// mostTold bounds the suspicions of a heartbeat: a rack that is lost makes many at once.
-const mostTold = 32
+// maxSuspects is the limit for one heartbeat: the loss of a rack adds many at once.
+const maxSuspects = 32
 
-// Suspects lists what this owner has come to suspect lately, for the others.
+// Suspects lists the tasks that this owner suspected lately, to be sent to the others.
 //
-// What goes wrong without it: the caller of a job that has ended as unknown submits it again, another
-// owner takes it, and its task crashes two more endpoints there. One notices one task suspected at one
-// owner after the other.
-func (b *Book) Suspects(now time.Time) (all []Suspect) {
-	b.news = slices.DeleteFunc(b.news, func(n news) bool { return now.Sub(n.at) > tellFor })
-	for _, n := range b.news[max(0, len(b.news)-mostTold):] {
+// Without it, when the caller of a job that ended as unknown submits it again, another owner accepts
+// it, and its task crashes two more endpoints there: owner after owner suspects the same task.
+func (sc *Book) Suspects(now time.Time) (all []Suspect) {
+	sc.suspicions = slices.DeleteFunc(sc.suspicions, func(n suspicion) bool { return now.Sub(n.at) > shareFor })
+	for _, n := range sc.suspicions[max(0, len(sc.suspicions)-maxSuspects):] {
 		all = append(all, n.Suspect)
 	}
 	return all
 }
 
-// Heed takes in what another owner suspects.
-func (b *Book) Heed(now time.Time, s Suspect) {
-	if s.Lost <= b.suspects[s.Task] {
+// AddSuspect records a suspicion of another owner.
+func (sc *Book) Heed(now time.Time, s Suspect) {
+	if s.Lost <= sc.suspects[s.Task] {
 		return
 	}
-	b.cfg.Log.Info("task suspected elsewhere", "task", s.Task, "lost", s.Lost)
-	b.suspects[s.Task], b.suspected[s.Task] = s.Lost, now
+	sc.cfg.Log.Info("task suspected elsewhere", "task", s.Task, "lost", s.Lost)
+	sc.suspects[s.Task], sc.suspectedAt[s.Task] = s.Lost, now
 }
--- /dev/null
+++ b/internal/task/owner/takeover.go
@@ -0,0 +1,60 @@
+package owner
+
+import (
+	"slices"
+	"time"
+)
+
+// Cleared says that an endpoint obeys a fence and runs nothing that was started under a lower one. An
+// endpoint never goes back to a lower fence, so it stays true however late it is read.
+type Cleared struct {
+	Endpoint string // ID of one incarnation
+	Fence    uint64
+}
+
+// clearedEntry is a Cleared to be sent to other owners.
+type clearedEntry struct {
+	at time.Time
+	Cleared
+}
+
+const (
+	// clearedFor is how long a Cleared is sent to the former owner: several heartbeats between failure domains.
+	clearedFor = time.Second
+	// maxCleared is the limit for one heartbeat. Owners that get none wait for their leases to run out.
+	maxCleared = 32
+)
+
+// noteCleared records that an endpoint that another VM used before has no runs of that VM left.
+func (sc *Book) noteCleared(now time.Time, s *endpoint) {
+	sc.cfg.Log.Info("endpoint cleared", "endpoint", s.ID, "fence", s.Fence)
+	sc.recentCleared = append(sc.recentCleared, clearedEntry{now, Cleared{s.ID, s.Fence}})
+}
+
+// Cleared lists the endpoints taken over from other owners lately, in turns if there are too many.
+func (sc *Book) Cleared(now time.Time) (all []Cleared) {
+	sc.recentCleared = slices.DeleteFunc(sc.recentCleared, func(c clearedEntry) bool { return now.Sub(c.at) > clearedFor })
+	n := min(maxCleared, len(sc.recentCleared))
+	for _, c := range sc.recentCleared[:n] {
+		all = append(all, c.Cleared)
+	}
+	sc.recentCleared = slices.Concat(sc.recentCleared[n:], sc.recentCleared[:n])
+	return all
+}
+
+// ApplyCleared records that another owner has cleared an endpoint: runs that this one started there
+// under a lower fence are over and can restart elsewhere. With equal fences the endpoint obeys both.
+func (sc *Book) Yield(now time.Time, c Cleared) {
+	s := sc.endpoints[c.Endpoint]
+	if s == nil || c.Fence <= s.Fence {
+		return
+	}
+	sc.Lose(now, c.Endpoint, false, "another VM has cleared it")
+	if sc.endpoints[c.Endpoint] != s {
+		return // it had no runs
+	}
+	sc.cfg.Log.Info("runs ended by new owner", "endpoint", s.ID, "runs", len(s.Runs), "fence", s.Fence, "new_fence", c.Fence)
+	sc.runsEnded(now, s, s.Cleared(), "cleared by another VM")
+	sc.remove(c.Endpoint)
+	sc.dispatch(now)
+}
