--- a/internal/task/flow/admit.go
+++ b/internal/task/flow/admit.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// caution scales the predicted wait: jobs ranked later may still overtake.
-	caution = 1.25
-	// leastRetry keeps refused callers from coming back at once.
-	leastRetry = 100 * time.Millisecond
-	// MostGrant bounds the tickets of one grant.
+	// waitMargin scales the predicted wait, since jobs that arrive later may overtake.
+	waitMargin = 1.25
+	// minRetryAfter keeps refused callers from coming back at once.
+	minRetryAfter = 100 * time.Millisecond
+	// MaxGrant is the largest number of tickets in one grant.
 	MostGrant = 256
 )
 
-// check judges a submission by itself and fills in its defaults; nothing of it
-// depends on load.
-func (n *Node) check(c *conf, req *job.Request) *job.Answer {
+// validate checks a submission against the document, whatever the load, and fills in
+// its defaults.
+func (n *Node) validate(c *conf, req *job.Request) *job.Answer {
 	class, ok := c.doc.Classes[req.Class]
 	limits := c.doc.Limits
 	switch {
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// admit judges a submission by the state of the system; a refusal costs no send.
+// admit refuses a submission by the state of the system, before anything is sent.
 func (n *Node) admit(c *conf, class doc.Class, req *job.Request, now time.Time) *job.Answer {
 	if c.doc.Tenants[req.Tenant].Paused {
 		return job.Refuse(job.Paused, 10*time.Second, "tenant %s is paused by the operators", req.Tenant)
@@ -55,62 +55,64 @@
 	if n.table.Known() == 0 {
 		return job.Refuse(job.NoEndpoint, time.Second, "no endpoint is known")
 	}
-	most := n.table.Most()
+	largest := n.table.Most()
 	for i := range req.Tasks {
-		if !req.Tasks[i].Need.Fits(most) {
-			return job.Refuse(job.Impossible, 0, "tasks[%d].need: more than any endpoint has, which is %v cores, %v GiB, %v accelerators", i, most.Cores, most.Memory, most.Accels)
+		if !req.Tasks[i].Need.Fits(largest) {
+			return job.Refuse(job.Impossible, 0, "tasks[%d].need: more than any endpoint has, which is %v cores, %v GiB, %v accelerators", i, largest.Cores, largest.Memory, largest.Accels)
 		}
 	}
 	if n.bytes.Load()+req.Bytes() > n.cfg.Memory {
-		return job.Refuse(job.Overload, leastRetry, "this VM holds as many bytes of submissions as it may")
+		return job.Refuse(job.Overload, minRetryAfter, "this VM holds as many bytes of submissions as it may")
 	}
 	if !n.cfg.Foresight {
 		return nil
 	}
-	return n.foresee(class, req, now)
+	return n.checkDeadline(class, req, now)
 }
 
-// foresee refuses what would not be done in time: started, it would only take
-// slots from work that can be.
-func (n *Node) foresee(class doc.Class, req *job.Request, now time.Time) *job.Answer {
-	e := n.learn.Expect(keyOf(req), req.Tasks[0].Run)
-	wait := n.wait(class.Band, now)
-	need := time.Duration(caution*float64(wait)) + n.span(e.Mean, len(req.Tasks))
+// checkDeadline refuses a job that would miss its deadline: it would only take slots
+// from jobs that can finish in time.
+func (n *Node) checkDeadline(class doc.Class, req *job.Request, now time.Time) *job.Answer {
+	e := n.learn.Expect(learnKey(req), req.Tasks[0].Run)
+	wait := n.expectedWait(class.Band, now)
+	need := time.Duration(waitMargin*float64(wait)) + n.runTime(e.Mean, len(req.Tasks))
 	if need <= req.Left {
 		return nil
 	}
-	retry := max(leastRetry, min(wait, need-req.Left))
-	retry += rand.N(retry/4 + 1) // so that the refused don't come back together
+	retry := max(minRetryAfter, min(wait, need-req.Left))
+	retry += rand.N(retry/4 + 1) // jitter, so that refused callers don't come back together
 	return job.Refuse(job.Overload, retry, "it would take about %s, more than the %s it has", need.Round(time.Millisecond), req.Left)
 }
 
-// span is how long n tasks of a mean take once they start, on this VM's slots.
-func (n *Node) span(mean time.Duration, tasks int) time.Duration {
+// runTime predicts how long tasks of a mean run time take on this VM's slots once
+// they start.
+func (n *Node) runTime(mean time.Duration, tasks int) time.Duration {
 	limit, _ := n.table.Slots(n.now())
 	rounds := math.Ceil(float64(tasks) / max(1, float64(limit)))
 	return time.Duration(rounds * float64(mean))
 }
 
-// wait predicts how long a new job of a band waits for its first slot, from the
-// work that goes before it.
-func (n *Node) wait(band job.Band, now time.Time) time.Duration {
+// expectedWait predicts how long a new job of a band waits for its first slot, from
+// the queued work that goes first.
+func (n *Node) expectedWait(band job.Band, now time.Time) time.Duration {
 	limit, free := n.table.Slots(now)
 	if limit == 0 {
-		return n.blind()
+		return n.waitWithoutSlots()
 	}
 	var ahead time.Duration
 	for b := range band + 1 {
 		ahead += n.queues[b].Backlog()
 	}
-	if ahead == 0 && free > n.keep(band, limit) {
+	if ahead == 0 && free > n.reservedSlots(band, limit) {
 		return 0
 	}
-	usable := max(1, limit-n.keep(band, limit))
+	usable := max(1, limit-n.reservedSlots(band, limit))
 	return ahead / time.Duration(usable)
 }
 
-// blind predicts the wait when no own endpoint is usable: none if peers take work.
-func (n *Node) blind() time.Duration {
+// waitWithoutSlots predicts the wait while this VM has no usable endpoint: zero if a
+// peer has room.
+func (n *Node) waitWithoutSlots() time.Duration {
 	for _, m := range n.view.Members() {
 		if m.Usable() && m.Beat.Room.Urgent > 0 {
 			return 0
@@ -119,10 +121,10 @@
 	return 5 * time.Second
 }
 
-// keep is how many slots must stay free of non-urgent work for urgent work that
-// comes next. Urgent work in progress uses up at most half of it, so that a burst
-// of it doesn't open the door to routine tasks of several seconds.
-func (n *Node) keep(band job.Band, limit int) int {
+// reservedSlots returns how many free slots a band must leave to future urgent work.
+// Urgent tasks in progress count for at most half of the reserve, so that a burst of
+// them doesn't release it to routine tasks that take several seconds.
+func (n *Node) reservedSlots(band job.Band, limit int) int {
 	c := n.conf.Load()
 	if band == job.Urgent || c == nil {
 		return 0
--- a/internal/task/flow/beat.go
+++ b/internal/task/flow/beat.go
@@ -8,40 +8,40 @@
 	"dahliawinch/internal/task/job"
 )
 
-// beat sends heartbeats, looks at silences and lets time-bound limits change.
+// beat sends heartbeats, checks for silent members and updates endpoint limits.
 func (n *Node) beat() {
 	now := n.now()
 	for _, c := range n.view.Tick(now) {
-		n.changed(c)
+		n.memberChanged(c)
 	}
-	n.limits(now)
-	b := n.pulse(now)
+	n.applyHealth(now)
+	b := n.newBeat(now)
 	round := n.beats.Add(1)
 	for i, m := range n.view.Members() {
 		if !m.Speaks() {
 			continue
 		}
 		if m.Domain == n.cfg.Domain || (round+int64(i))%view.Far == 0 || b.Leaving {
-			n.cast(m, b)
+			n.sendBeat(m, b)
 		}
 	}
 	n.pump()
 }
 
-func (n *Node) cast(m *view.Member, b *frame.Beat) {
-	if n.parts.Mesh.Cast(m.VM, b) == nil {
-		n.parts.Meter.Waste(meterGossip, 1)
+func (n *Node) sendBeat(m *view.Member, b *frame.Beat) {
+	if n.deps.Mesh.Cast(m.VM, b) == nil {
+		n.deps.Meter.Waste(meterGossip, 1)
 	}
 }
 
-func (n *Node) pulse(now time.Time) *frame.Beat {
+func (n *Node) newBeat(now time.Time) *frame.Beat {
 	b := &frame.Beat{
-		At: now, Room: n.room(now), Queued: n.Waiting(), Wait: n.wait(job.Routine, now),
+		At: now, Room: n.room(now), Queued: n.Waiting(), Wait: n.expectedWait(job.Routine, now),
 		Use: n.quota.Tick(now, view.Period), Leaving: n.draining.Load(), Doubts: n.view.Doubts(now), Out: n.health.Out(),
 	}
 	n.listMu.Lock()
-	for a, w := range n.gone {
-		if w.first {
+	for a, notice := range n.leaving {
+		if notice.direct {
 			b.Gone = append(b.Gone, a)
 		}
 	}
@@ -52,8 +52,8 @@
 	return b
 }
 
-// room is how many tasks peers may give this VM now. While own non-urgent work
-// waits there is none for theirs, but still the reserve for their urgent work.
+// room returns how many tasks peers may give this VM now. While its own non-urgent
+// work waits, it accepts only urgent tasks, which may use the reserve.
 func (n *Node) room(now time.Time) (r frame.Room) {
 	if n.draining.Load() || n.queues[job.Urgent].Tasks() > 0 {
 		return r
@@ -61,7 +61,7 @@
 	limit, free := n.table.Slots(now)
 	r.Urgent = max(0, free)
 	if n.Waiting() == 0 {
-		r.Free = max(0, free-n.keep(job.Routine, limit))
+		r.Free = max(0, free-n.reservedSlots(job.Routine, limit))
 	}
 	return r
 }
--- a/internal/task/flow/config.go
+++ b/internal/task/flow/config.go
@@ -11,19 +11,19 @@
 	"dahliawinch/internal/task/quota"
 )
 
-// Docs is where revisions come from and go to; the keeper of the log's fold
+// RevisionStore holds the newest known revision of the document; keeper.Keeper
 // implements it.
 type Docs interface {
-	// Offer takes a peer's revision.
+	// Offer submits a peer's revision.
 	Offer(fold.Revision)
-	// Current returns the revision to pass on.
+	// Current returns the revision to send to peers.
 	Current() (fold.Revision, bool)
 }
 
-// Bind sets where revisions from peers go.
-func (n *Node) Bind(d Docs) { n.docs.Store(&d) }
+// SetRevisionStore sets the store for revisions from peers.
+func (n *Node) Bind(d Docs) { n.revisions.Store(&d) }
 
-// Apply puts a revision in force; lower ones are ignored.
+// Apply puts a revision in force. It ignores one that is not newer than the current.
 func (n *Node) Apply(r fold.Revision) error {
 	if c := n.conf.Load(); c != nil && c.rev.Rev >= r.Rev {
 		return nil
@@ -38,13 +38,13 @@
 	}
 	n.quota.Declare(n.now(), limits)
 	n.conf.Store(&conf{rev: r, doc: d, keys: doc.NewKeyring(d), since: n.now()})
-	n.parts.Log.Info("document in force", "rev", r.Rev, "author", r.Author)
+	n.deps.Log.Info("document in force", "rev", r.Rev, "author", r.Author)
 	n.rehome()
 	n.pump()
 	return nil
 }
 
-// InForce returns the revision in force and since when.
+// InForce returns the revision in force and when it was applied.
 func (n *Node) InForce() (r fold.Revision, since time.Time, ok bool) {
 	c := n.conf.Load()
 	if c == nil {
@@ -53,26 +53,26 @@
 	return c.rev, c.since, true
 }
 
-// compare asks a peer for its revision when it is ahead.
-func (n *Node) compare(vm netip.AddrPort, b *frame.Beat) {
+// requestNewer asks a peer for its revision if that is newer.
+func (n *Node) requestNewer(vm netip.AddrPort, b *frame.Beat) {
 	c := n.conf.Load()
 	if b.Rev > 0 && (c == nil || c.rev.Rev < b.Rev) {
-		_ = n.parts.Mesh.Cast(vm, &frame.Want{}) // the next beat tries again
+		_ = n.deps.Mesh.Cast(vm, &frame.Want{}) // the next heartbeat tries again
 	}
 }
 
 func (n *Node) receiveWant(from frame.Hello) {
-	d := n.docs.Load()
+	d := n.revisions.Load()
 	if d == nil {
 		return
 	}
 	if r, ok := (*d).Current(); ok {
-		_ = n.parts.Mesh.Cast(from.VM, &frame.Have{Revision: r}) // asked again by the next beat
+		_ = n.deps.Mesh.Cast(from.VM, &frame.Have{Revision: r}) // the peer asks again at the next heartbeat
 	}
 }
 
 func (n *Node) receiveHave(h *frame.Have) {
-	if d := n.docs.Load(); d != nil {
+	if d := n.revisions.Load(); d != nil {
 		(*d).Offer(h.Revision)
 	}
 }
--- a/internal/task/flow/drain.go
+++ b/internal/task/flow/drain.go
@@ -6,22 +6,21 @@
 	"time"
 )
 
-// drainLook is how often a draining node looks whether it is empty.
-const drainLook = 20 * time.Millisecond
+// drainPoll is the interval at which a draining node checks whether it is idle.
+const drainPoll = 20 * time.Millisecond
 
-// Drain takes no more work of its own and returns when nothing is in progress
-// house. New submissions that still arrive, because the balancer learns of the
-// leaving late, are handed to peers.
+// Drain stops taking work and returns when nothing is in progress. Submissions that
+// still arrive, because the balancer learns late of the drain, are forwarded to peers.
 func (n *Node) Drain(ctx context.Context) error {
 	n.draining.Store(true)
-	n.parts.Log.Info("draining", "active", n.active.Load())
+	n.deps.Log.Info("draining", "active", n.active.Load())
 	n.rehome()
-	n.beat() // peers take over the endpoints now, not a beat later
+	n.beat() // peers take over the endpoints now, not a heartbeat later
 	for n.active.Load() > 0 || n.running.Load() > 0 {
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("drain with %d jobs left: %w", n.active.Load(), ctx.Err())
-		case <-time.After(drainLook):
+		case <-time.After(drainPoll):
 		}
 	}
 	return nil
@@ -30,5 +29,5 @@
 // Draining reports whether Drain was called.
 func (n *Node) Draining() bool { return n.draining.Load() }
 
-// Active is the number of submissions in progress here.
+// Active returns the number of submissions in progress on this VM.
 func (n *Node) Active() int { return int(n.active.Load()) }
--- a/internal/task/flow/node.go
+++ b/internal/task/flow/node.go
@@ -26,22 +26,22 @@
 )
 
 const (
-	// lookAgain is how soon after a refusal waiting work is looked at again.
-	lookAgain = 50 * time.Millisecond
-	// goneFor is how long the word that an endpoint leaves is believed and passed
-	// on; the platform's list lags by less.
-	goneFor = 90 * time.Second
-	// retryFloor is how many retries a second there are whatever the load, retryTop how
-	// many at once.
-	retryFloor = 5
-	retryTop   = 100
-	// lead is how much slot time a tenant may be ahead of the others.
-	lead = 4 * time.Second
-	// quietFor is how long an endpoint may say nothing before it is asked.
-	quietFor = time.Second
+	// refusalBackoff is the delay between an endpoint's refusal and the next pump.
+	refusalBackoff = 50 * time.Millisecond
+	// leaveTTL is how long a leave notice stays valid and is sent to peers; the
+	// platform's list lags by less.
+	leaveTTL = 90 * time.Second
+	// minRetryRate is the number of retries per second allowed at any load,
+	// retryBurst the number allowed at once.
+	minRetryRate = 5
+	retryBurst   = 100
+	// maxLead is the slot time that a tenant may be ahead of the others.
+	maxLead = 4 * time.Second
+	// probeAfter is the silence after which an endpoint is probed.
+	probeAfter = time.Second
 )
 
-// conf is what a request reads of the document; it never changes.
+// conf is an immutable snapshot of the document in force, read by requests.
 type conf struct {
 	rev   fold.Revision
 	doc   *doc.Document
@@ -49,35 +49,35 @@
 	since time.Time
 }
 
-// Node is one entry VM's dispatcher.
+// Node is the dispatcher of one entry VM.
 type Node struct {
 	cfg    Config
-	parts  Parts
-	ctx    context.Context //nolint:containedctx // the life of the node, not of a request
+	deps   Parts
+	ctx    context.Context //nolint:containedctx // the lifetime of the node, not of a request
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
-	conf   atomic.Pointer[conf]
-	docs   atomic.Pointer[Docs]
-	table  *place.Table
-	health *health.Book
-	learn  learn.Book
-	book   *ticket.Book
-	view   *view.View
-	budget *budget.Set
-	quota  *quota.Book
-	queues [job.Bands]*queue.Queue[*work]
-
-	beats    atomic.Int64
-	serial   atomic.Uint64
-	bytes    atomic.Int64 // of submissions in progress here
-	active   atomic.Int64 // submissions in progress here
-	running  atomic.Int64 // attempts on endpoints
-	urgent   atomic.Int64 // slots used by urgent work
-	draining atomic.Bool
-	looking  atomic.Bool // a later pump is on its way
-
-	peerMu sync.Mutex // batches of tasks that peers gave
+	conf      atomic.Pointer[conf]
+	revisions atomic.Pointer[Docs]
+	table     *place.Table
+	health    *health.Book
+	learn     learn.Book
+	tickets   *ticket.Book
+	view      *view.View
+	budget    *budget.Set
+	quota     *quota.Book
+	queues    [job.Bands]*queue.Queue[*work]
+
+	beats       atomic.Int64
+	serial      atomic.Uint64
+	bytes       atomic.Int64 // of the submissions in progress here
+	active      atomic.Int64 // submissions in progress here
+	running     atomic.Int64 // attempts on endpoints
+	urgent      atomic.Int64 // slots in use by urgent work
+	draining    atomic.Bool
+	pumpPending atomic.Bool // a delayed pump is scheduled
+
+	peerMu sync.Mutex // guards the batches of tasks from peers
 
 	spillMu sync.Mutex
 	groups  map[uint64]*group
@@ -85,73 +85,73 @@
 	callMu sync.Mutex
 	calls  map[uint64]*call
 
-	liveMu sync.Mutex
-	live   map[uint64]*use // by ticket sequence
+	ticketMu   sync.Mutex
+	ticketRuns map[uint64]*ticketRun // by ticket sequence
 
-	rehomed time.Time // only the thread that follows the list uses it
+	lastRehome time.Time // used only by the goroutine that calls UpdateRoster
 
-	listMu sync.Mutex
-	list   roster.List
-	gone   map[netip.AddrPort]word // endpoints that leave
+	listMu  sync.Mutex
+	list    roster.List
+	leaving map[netip.AddrPort]leaveNotice // endpoints that announced their leave
 }
 
-// New returns a node; Start sets it going.
-func New(ctx context.Context, cfg Config, parts Parts) (*Node, error) {
+// New returns a node that Start activates.
+func New(ctx context.Context, cfg Config, deps Parts) (*Node, error) {
 	policy, err := place.ByName[*place.Endpoint](cfg.Policy)
 	if err != nil {
 		return nil, fmt.Errorf("new node: %w", err)
 	}
-	now := parts.Timers.Now()
+	now := deps.Timers.Now()
 	n := &Node{
-		cfg: cfg, parts: parts,
+		cfg: cfg, deps: deps,
 		table:  place.NewTable(policy),
 		health: health.New(health.Wild),
 		view:   view.New(cfg.Self, cfg.Domain, now),
 		quota:  quota.New(),
-		budget: budget.NewSet(now, cfg.Retries, retryFloor, retryTop),
-		book: ticket.NewBook(cfg.Self, cfg.Inc, cfg.Secret, ticket.Limits{
+		budget: budget.NewSet(now, cfg.Retries, minRetryRate, retryBurst),
+		tickets: ticket.NewBook(cfg.Self, cfg.Inc, cfg.Secret, ticket.Limits{
 			Term: cfg.Term, Uses: cfg.Tickets, Bytes: cfg.Memory / 4,
 		}),
 		groups: map[uint64]*group{},
-		calls:  map[uint64]*call{}, live: map[uint64]*use{},
-		gone: map[netip.AddrPort]word{},
+		calls:  map[uint64]*call{}, ticketRuns: map[uint64]*ticketRun{},
+		leaving: map[netip.AddrPort]leaveNotice{},
 	}
 	n.ctx, n.cancel = context.WithCancel(ctx)
 	for b := range n.queues {
-		n.queues[b] = queue.New[*work](now, queue.Order{Spread: 50, Stretch: cfg.Stretch, Lead: lead})
+		n.queues[b] = queue.New[*work](now, queue.Order{Spread: 50, Stretch: cfg.Stretch, Lead: maxLead})
 	}
 	return n, nil
 }
 
-// Start subscribes the node to its timers.
+// Start registers the node's timers.
 func (n *Node) Start() {
-	t := n.parts.Timers
-	t.OnJump(n.jump)
+	t := n.deps.Timers
+	t.OnJump(n.handlePause)
 	t.Every(n.ctx, view.Period, n.beat)
-	t.Every(n.ctx, quietFor/2, n.probe)
+	t.Every(n.ctx, probeAfter/2, n.probeQuiet)
 }
 
-// Close ends the node at once; Drain before it cuts nothing.
+// Close stops the node at once. Call Drain first to let running jobs finish.
 func (n *Node) Close() { n.cancel() }
 
-// Wait returns when nothing of a closed node runs any more.
+// Wait returns once all goroutines of a closed node have ended.
 func (n *Node) Wait() { n.wg.Wait() }
 
-func (n *Node) now() time.Time { return n.parts.Timers.Now() }
+func (n *Node) now() time.Time { return n.deps.Timers.Now() }
 
-// View returns what the node believes of the other VMs.
+// View returns the node's view of the other VMs.
 func (n *Node) View() *view.View { return n.view }
 
-// Incarnation returns the number of this process start.
+// Incarnation returns the number that identifies this start of the process.
 func (n *Node) Incarnation() uint64 { return n.cfg.Inc }
 
-// jump handles a pause of this VM: peers' silence was ours.
-func (n *Node) jump(gap time.Duration) {
-	n.parts.Log.Warn("vm was paused", "gap", gap)
+// handlePause discounts the silence of peers during a pause of this VM.
+func (n *Node) handlePause(gap time.Duration) {
+	n.deps.Log.Warn("vm was paused", "gap", gap)
 	n.view.Resume(n.now())
 }
 
-// Learn takes over the platform's list.
+// UpdateRoster applies a new version of the platform's list.
 func (n *Node) Learn(l roster.List) {
 	now := n.now()
 	var vms []view.Named
@@ -169,28 +169,28 @@
 	n.list = l
 	for _, e := range l.Endpoints {
 		if e.Leaving {
-			n.gone[e.Addr] = word{at: now}
+			n.leaving[e.Addr] = leaveNotice{at: now}
 		}
 	}
 	n.listMu.Unlock()
-	if !same || now.Sub(n.rehomed) > rehomeEvery {
-		n.rehomed = now
+	if !same || now.Sub(n.lastRehome) > rehomePeriod {
+		n.lastRehome = now
 		n.rehome()
 	}
 }
 
-// rehomeEvery bounds how long words that run out with time (an endpoint that left, a
-// listed VM that never spoke) stay in force under a list that doesn't change.
-const rehomeEvery = 3 * time.Second
+// rehomePeriod is the longest time between rehomes while the list doesn't change, so
+// that expired states (a leave notice, a listed VM that never spoke) take effect.
+const rehomePeriod = 3 * time.Second
 
-// rehome works out anew which endpoints are this VM's to send to.
+// rehome recomputes which endpoints this VM sends to.
 func (n *Node) rehome() {
 	c := n.conf.Load()
 	n.listMu.Lock()
 	defer n.listMu.Unlock()
 	now := n.now()
 	vms := n.view.Domain(now, n.draining.Load())
-	infos := n.serving(c, now)
+	infos := n.servingEndpoints(c, now)
 	slots := map[netip.AddrPort]int{}
 	n.table.Update(now, infos, func(in place.Info) bool {
 		if in.Domain != n.cfg.Domain {
@@ -203,22 +203,22 @@
 		return true
 	})
 	n.health.Keep(slots)
-	n.limits(now)
+	n.applyHealth(now)
 }
 
-// serving lists the endpoints that the list, the document and what they said of
-// themselves let serve; the caller holds listMu.
-func (n *Node) serving(c *conf, now time.Time) (infos []place.Info) {
-	for a, w := range n.gone {
-		if now.Sub(w.at) > goneFor {
-			delete(n.gone, a)
+// servingEndpoints returns the listed endpoints that neither leave nor are excluded
+// by the document; the caller holds listMu.
+func (n *Node) servingEndpoints(c *conf, now time.Time) (infos []place.Info) {
+	for a, notice := range n.leaving {
+		if now.Sub(notice.at) > leaveTTL {
+			delete(n.leaving, a)
 		}
 	}
 	for _, e := range n.list.Endpoints {
-		if _, gone := n.gone[e.Addr]; gone || e.Leaving {
+		if _, gone := n.leaving[e.Addr]; gone || e.Leaving {
 			continue
 		}
-		if c != nil && (slices.Contains(c.doc.Endpoints.Drain, e.Addr) || !selected(c.doc, e.Domain)) {
+		if c != nil && (slices.Contains(c.doc.Endpoints.Drain, e.Addr) || !domainSelected(c.doc, e.Domain)) {
 			continue
 		}
 		infos = append(infos, e.Info)
@@ -226,67 +226,68 @@
 	return infos
 }
 
-func selected(d *doc.Document, domain string) bool {
+func domainSelected(d *doc.Document, domain string) bool {
 	return len(d.Endpoints.Domains) == 0 || slices.Contains(d.Endpoints.Domains, domain)
 }
 
-// limits takes over the health book's verdicts, which change with time.
-func (n *Node) limits(now time.Time) {
+// applyHealth sets each endpoint's slot limit and slow flag, which change with time.
+func (n *Node) applyHealth(now time.Time) {
 	for _, e := range n.table.Mine() {
 		e.SetLimit(n.health.Limit(now, e.Addr))
 		e.SetSlow(n.health.Slow(e.Addr))
 	}
 }
 
-// word that an endpoint leaves. Only what was heard from the endpoint itself is
-// passed on: two VMs that pass on each other's word would never forget it.
-type word struct {
-	at    time.Time
-	first bool // heard from the endpoint
+// leaveNotice records that an endpoint leaves. Only notices from the endpoint itself
+// are sent to peers: two VMs that repeat each other's notices would never expire them.
+type leaveNotice struct {
+	at     time.Time
+	direct bool // received from the endpoint itself
 }
 
-// leave stops work to an endpoint at once and tells the peers by the next beat.
-func (n *Node) leave(a netip.AddrPort, by string, first bool) {
+// markLeaving stops new work to an endpoint at once; the next heartbeat carries a
+// direct notice to peers.
+func (n *Node) markLeaving(a netip.AddrPort, by string, direct bool) {
 	n.listMu.Lock()
-	_, known := n.gone[a]
-	n.gone[a] = word{at: n.now(), first: first}
+	_, known := n.leaving[a]
+	n.leaving[a] = leaveNotice{at: n.now(), direct: direct}
 	n.listMu.Unlock()
 	if e := n.table.Find(a); e != nil {
 		e.Leave()
 	}
 	if !known {
-		n.parts.Log.Info("endpoint leaves", "endpoint", a, "by", by)
+		n.deps.Log.Info("endpoint leaves", "endpoint", a, "by", by)
 		n.rehome()
 	}
 }
 
-// probe asks endpoints that have said nothing for a while whether they leave or
-// are there at all, so that no caller's task has to find out.
-func (n *Node) probe() {
+// probeQuiet probes endpoints that were silent for a while, so that no caller's task
+// is the first to meet one that leaves or can't be reached.
+func (n *Node) probeQuiet() {
 	now := n.now()
 	for _, e := range n.table.Mine() {
 		if e.Busy() > 0 || e.Leaving() {
 			continue
 		}
-		if e.Quiet(now, quietFor) {
-			e.Hear(now) // asked is as good as heard until the answer
-			n.wg.Go(func() { n.ask(e) })
+		if e.Quiet(now, probeAfter) {
+			e.Hear(now) // delays the next probe until this one has ended
+			n.wg.Go(func() { n.probeEndpoint(e) })
 		}
 	}
 }
 
-func (n *Node) ask(e *place.Endpoint) {
-	ctx, cancel := context.WithTimeout(n.ctx, quietFor)
+func (n *Node) probeEndpoint(e *place.Endpoint) {
+	ctx, cancel := context.WithTimeout(n.ctx, probeAfter)
 	defer cancel()
-	n.parts.Meter.Waste(meterProbe, 1)
-	leaving, err := n.parts.Runner.Ask(ctx, e.Addr)
+	n.deps.Meter.Waste(meterProbe, 1)
+	leaving, err := n.deps.Runner.Ask(ctx, e.Addr)
 	switch {
 	case n.ctx.Err() != nil:
 	case err != nil:
-		n.parts.Log.Info("endpoint unreachable", "endpoint", e.Addr, "err", err)
+		n.deps.Log.Info("endpoint unreachable", "endpoint", e.Addr, "err", err)
 		e.SetLimit(n.health.Note(n.now(), health.Report{Addr: e.Addr, End: health.Unreachable}))
 	case leaving:
-		n.leave(e.Addr, "probe", true)
+		n.markLeaving(e.Addr, "probe", true)
 	default:
 		n.health.Reached(e.Addr)
 		e.SetLimit(n.health.Limit(n.now(), e.Addr))
@@ -294,7 +295,7 @@
 	}
 }
 
-// Waiting is the number of tasks that have not started.
+// Waiting returns the number of tasks that have not started.
 func (n *Node) Waiting() (k int) {
 	for _, q := range n.queues {
 		k += q.Tasks()
@@ -302,7 +303,7 @@
 	return k
 }
 
-// name makes an attempt's identifier, unique over all VMs and incarnations.
-func (n *Node) name() string {
+// attemptID returns a new ID that is unique over all VMs and incarnations.
+func (n *Node) attemptID() string {
 	return n.cfg.Self.String() + "/" + strconv.FormatUint(n.cfg.Inc, 36) + "/" + strconv.FormatUint(n.serial.Add(1), 36)
 }
--- a/internal/task/flow/park.go
+++ b/internal/task/flow/park.go
@@ -6,17 +6,17 @@
 	"dahliawinch/internal/task/job"
 )
 
-// parkFor is how long a refused task waits before it asks again for a retry.
-const parkFor = 100 * time.Millisecond
+// parkDelay is the time after which a parked task requests a retry again.
+const parkDelay = 100 * time.Millisecond
 
-// park holds back a refused task while the retry budget is empty. Queueing it at
-// once would multiply refusals under the overload that caused them; failing its
-// job would lose work that can still be done in time.
+// park holds back a refused task while the retry budget is empty. Requeueing it at
+// once would multiply refusals under overload; failing its job would lose work that can
+// still finish in time.
 func (n *Node) park(w *work, domain string, retry func()) {
-	n.parts.Timers.After(parkFor, func() {
+	n.deps.Timers.After(parkDelay, func() {
 		switch {
 		case n.ctx.Err() != nil || w.settled():
-		case n.retry(n.now(), domain) == job.NoReason:
+		case n.takeRetry(n.now(), domain) == job.NoReason:
 			retry()
 			n.pump()
 		default:
--- a/internal/task/flow/peertask.go
+++ b/internal/task/flow/peertask.go
@@ -9,49 +9,49 @@
 	"dahliawinch/internal/task/learn"
 )
 
-// peerTask is one task that a peer gave.
+// peerTask is one task received from a peer.
 type peerTask struct {
 	n     *Node
 	batch *batch
 	task  frame.Task
 }
 
-// batch collects the ended tasks of one job in one group, so that they go back in
-// one message: the giver can't answer before the last of them anyway.
+// batch collects the ended tasks of one job in one group and returns them in one
+// message: the sender can't answer its caller before the last of them anyway.
 type batch struct {
-	to    netip.AddrPort
-	inc   uint64
-	group uint64
-	open  int
-	ended []frame.Ended
+	to      netip.AddrPort
+	inc     uint64
+	group   uint64
+	pending int
+	ended   []frame.Ended
 }
 
-// receiveGive starts what it has slots for at once and gives back the others.
+// receiveGive starts as many tasks as have free slots and returns the others.
 func (n *Node) receiveGive(from frame.Hello, g *frame.Give) {
 	now := n.now()
-	took := 0
-	if m := n.view.Find(from.VM); m == nil || m.Inc != from.Inc || m.Age(now, g.At) < staleGive {
-		took = n.takeIn(from, g, now)
+	started := 0
+	if m := n.view.Find(from.VM); m == nil || m.Inc != from.Inc || m.Age(now, g.At) < maxGiveAge {
+		started = n.startGiven(from, g, now)
 	}
-	if took < len(g.Tasks) { // silence means that all were taken
-		n.reply(from.VM, &frame.Took{To: from.Inc, Group: g.Group, N: took, Room: n.room(n.now())})
+	if started < len(g.Tasks) { // no Took message means that all were started
+		n.reply(from.VM, &frame.Took{To: from.Inc, Group: g.Group, N: started, Room: n.room(n.now())})
 	}
 }
 
-func (n *Node) takeIn(from frame.Hello, g *frame.Give, now time.Time) (took int) {
+func (n *Node) startGiven(from frame.Hello, g *frame.Give, now time.Time) (started int) {
 	c := n.conf.Load()
 	if c == nil || n.draining.Load() {
 		return 0
 	}
 	batches := map[uint64]*batch{}
-	var tries []*try
+	var attempts []*attempt
 	for _, t := range g.Tasks {
 		class, ok := c.doc.Classes[t.Class]
 		limit, _ := n.table.Slots(now)
 		if !ok || t.Left <= 0 {
 			break
 		}
-		ep := n.table.Acquire(now, t.Task.Need, n.keep(class.Band, limit))
+		ep := n.table.Acquire(now, t.Task.Need, n.reservedSlots(class.Band, limit))
 		if ep == nil {
 			break
 		}
@@ -60,36 +60,39 @@
 			b = &batch{to: from.VM, inc: from.Inc, group: g.Group}
 			batches[t.Job] = b
 		}
-		b.open++
-		tries = append(tries, &try{
+		b.pending++
+		attempts = append(attempts, &attempt{
 			n: n, ep: ep, task: &t.Task, key: learn.Key{Tenant: t.Tenant, Kind: t.Kind}, band: class.Band,
 			due: now.Add(t.Left), owner: &peerTask{n: n, batch: b, task: t},
 		})
 	}
-	for _, t := range tries { // only now: every batch must know its size first
-		t.launch()
+	for _, a := range attempts { // after the loop above, which counts each batch's tasks
+		a.launch()
 	}
-	return len(tries)
+	return len(attempts)
 }
 
 func (t *peerTask) begin() bool { return true }
 
-func (t *peerTask) ran(body []byte, _ time.Duration) { t.end(frame.Ran, body, "") }
+func (t *peerTask) ran(body []byte, _ time.Duration) { t.report(frame.Ran, body, "") }
 
-func (t *peerTask) ranBadly(detail string) { t.end(frame.RanBadly, nil, detail) }
+func (t *peerTask) failed(detail string) { t.report(frame.RanBadly, nil, detail) }
 
-func (t *peerTask) lost(detail string) { t.end(frame.Uncertain, nil, detail) }
+func (t *peerTask) lost(detail string) { t.report(frame.Uncertain, nil, detail) }
 
-func (t *peerTask) notRun(_ bool, _ job.Reason, _, detail string) { t.end(frame.NotRun, nil, detail) }
+func (t *peerTask) notStarted(_ bool, _ job.Reason, _, detail string) {
+	t.report(frame.NotRun, nil, detail)
+}
 
-// end notes the task's fate. A failure goes back at once, since it ends the job.
-func (t *peerTask) end(f frame.Fate, body []byte, detail string) {
+// report records how the task ended. All but success is sent at once, since it may end
+// the job.
+func (t *peerTask) report(f frame.Fate, body []byte, detail string) {
 	b := t.batch
 	t.n.peerMu.Lock()
-	b.open--
+	b.pending--
 	b.ended = append(b.ended, frame.Ended{Job: t.task.Job, Index: t.task.Index, Fate: f, Body: body, Detail: detail})
 	var send []frame.Ended
-	if b.open == 0 || f != frame.Ran {
+	if b.pending == 0 || f != frame.Ran {
 		send, b.ended = b.ended, nil
 	}
 	t.n.peerMu.Unlock()
@@ -99,8 +102,8 @@
 }
 
 func (n *Node) reply(to netip.AddrPort, m frame.Msg) {
-	n.parts.Meter.Waste(meterForward, 1)
-	if err := n.parts.Mesh.Cast(to, m); err != nil {
-		n.parts.Log.Warn("no way back", "to", to, "msg", frame.Purpose(m), "err", err)
+	n.deps.Meter.Waste(meterForward, 1)
+	if err := n.deps.Mesh.Cast(to, m); err != nil {
+		n.deps.Log.Warn("cannot send reply to peer", "to", to, "msg", frame.Purpose(m), "err", err)
 	}
 }
--- a/internal/task/flow/pump.go
+++ b/internal/task/flow/pump.go
@@ -8,11 +8,11 @@
 	"dahliawinch/internal/task/queue"
 )
 
-// passOver is how many tasks that fit no free endpoint one pump looks past.
-const passOver = 8
+// maxSkipped limits the tasks that one pump skips because no free endpoint fits them.
+const maxSkipped = 8
 
-// pump starts waiting tasks while there are slots for them, most pressing band
-// first; any thread may call it at any time.
+// pump starts waiting tasks while slots are free, the most urgent band first. It is
+// safe for concurrent use.
 func (n *Node) pump() {
 	now := n.now()
 	for b := range n.queues {
@@ -26,14 +26,14 @@
 	}
 }
 
-// quotaLook is how soon work that waits for its tenant's quota is looked at again.
-const quotaLook = 10 * time.Millisecond
+// quotaPoll is the delay before the next pump while tasks wait for a tenant's quota.
+const quotaPoll = 10 * time.Millisecond
 
-// pumpLater pumps once more after a while; one such look at a time.
+// pumpLater schedules one pump after quotaPoll, unless one is scheduled already.
 func (n *Node) pumpLater() {
-	if n.looking.CompareAndSwap(false, true) {
-		n.parts.Timers.After(quotaLook, func() {
-			n.looking.Store(false)
+	if n.pumpPending.CompareAndSwap(false, true) {
+		n.deps.Timers.After(quotaPoll, func() {
+			n.pumpPending.Store(false)
 			n.pump()
 		})
 	}
@@ -41,36 +41,36 @@
 
 func (n *Node) pumpBand(band job.Band, now time.Time) {
 	q := n.queues[band]
-	var passed []*queue.Entry[*work]
-	for q.Tasks() > 0 && len(passed) < passOver {
+	var skipped []*queue.Entry[*work]
+	for q.Tasks() > 0 && len(skipped) < maxSkipped {
 		limit, _ := n.table.Slots(now)
-		keep := n.keep(band, limit)
-		ep := n.table.Acquire(now, job.Size{}, keep)
+		reserved := n.reservedSlots(band, limit)
+		ep := n.table.Acquire(now, job.Size{}, reserved)
 		if ep == nil {
 			break
 		}
-		e, i, ok := n.next(q, now)
+		e, i, ok := n.nextTask(q, now)
 		if !ok {
 			ep.Release()
 			break
 		}
 		if need := e.Job.req.Tasks[i].Need; !need.Fits(ep.Size) {
 			ep.Release()
-			if ep = n.table.Acquire(now, need, keep); ep == nil {
-				passed = append(passed, e)
+			if ep = n.table.Acquire(now, need, reserved); ep == nil {
+				skipped = append(skipped, e)
 				e.Job.push(i)
 				continue
 			}
 		}
-		n.start(e.Job, i, ep)
+		n.startTask(e.Job, i, ep)
 	}
-	for _, e := range passed {
+	for _, e := range skipped {
 		q.Return(e)
 	}
 }
 
-// next takes the task that goes first, giving up jobs that can't be done in time.
-func (n *Node) next(q *queue.Queue[*work], now time.Time) (e *queue.Entry[*work], i int, ok bool) {
+// nextTask takes the first task of the queue and aborts jobs that can't finish in time.
+func (n *Node) nextTask(q *queue.Queue[*work], now time.Time) (e *queue.Entry[*work], i int, ok bool) {
 	for {
 		e, ok = q.Next(func(tenant string) bool { return n.quota.Open(now, tenant) })
 		if !ok {
@@ -78,7 +78,7 @@
 		}
 		w := e.Job
 		if now.Add(e.Cost/2).After(w.due) && n.cfg.Foresight {
-			n.settle(w, w.quit(job.Deadline, leastRetry, "no slot came free in time"))
+			n.settle(w, w.abort(job.Deadline, minRetryAfter, "no slot came free in time"))
 			continue
 		}
 		if i, ok = w.pop(); ok {
@@ -87,61 +87,61 @@
 	}
 }
 
-// start sends one task on its way to an endpoint whose slot is claimed.
-func (n *Node) start(w *work, i int, ep *place.Endpoint) {
+// startTask launches one task on an endpoint whose slot was acquired for it.
+func (n *Node) startTask(w *work, i int, ep *place.Endpoint) {
 	now := n.now()
 	n.budget.Earn(now, ep.Domain, 1)
 	n.quota.Start(now, w.req.Tenant)
-	t := &try{
+	a := &attempt{
 		n: n, ep: ep, task: &w.req.Tasks[i], key: w.key, band: w.class.Band,
-		due: w.due, owner: &share{n: n, w: w, i: i},
+		due: w.due, owner: &localTask{n: n, w: w, i: i},
 	}
-	t.launch()
+	a.launch()
 }
 
-// share is the place of one task in a job of this VM.
-type share struct {
+// localTask is one task of a job of this VM.
+type localTask struct {
 	n *Node
 	w *work
 	i int
 }
 
-func (s *share) begin() bool { return s.w.send() }
+func (t *localTask) begin() bool { return t.w.markSent() }
 
-func (s *share) ran(body []byte, ran time.Duration) {
-	s.n.parts.Meter.Ran(s.w.req.Tenant, s.w.req.Class, s.n.now().Sub(s.w.began)-ran, ran)
-	s.n.quota.End(s.w.req.Tenant, false)
-	s.n.settle(s.w, s.w.gather(s.i, body, ran))
+func (t *localTask) ran(body []byte, ran time.Duration) {
+	t.n.deps.Meter.Ran(t.w.req.Tenant, t.w.req.Class, t.n.now().Sub(t.w.acceptedAt)-ran, ran)
+	t.n.quota.End(t.w.req.Tenant, false)
+	t.n.settle(t.w, t.w.addResult(t.i, body, ran))
 }
 
-func (s *share) ranBadly(detail string) {
-	s.n.quota.End(s.w.req.Tenant, false)
-	s.n.settle(s.w, s.w.fail(true, job.TaskFailed, "a task ran and failed: "+detail))
+func (t *localTask) failed(detail string) {
+	t.n.quota.End(t.w.req.Tenant, false)
+	t.n.settle(t.w, t.w.fail(true, job.TaskFailed, "a task ran and failed: "+detail))
 }
 
-func (s *share) lost(detail string) {
-	s.n.quota.End(s.w.req.Tenant, false)
-	s.n.settle(s.w, s.w.fail(false, job.Silent, detail))
+func (t *localTask) lost(detail string) {
+	t.n.quota.End(t.w.req.Tenant, false)
+	t.n.settle(t.w, t.w.fail(false, job.Silent, detail))
 }
 
-// notRun puts the task back in the queue, or ends the job.
-func (s *share) notRun(sent bool, why job.Reason, domain, detail string) {
-	s.n.quota.End(s.w.req.Tenant, true)
+// notStarted requeues the task, parks it or ends its job.
+func (t *localTask) notStarted(sent bool, why job.Reason, domain, detail string) {
+	t.n.quota.End(t.w.req.Tenant, true)
 	if sent {
-		s.w.unsend()
+		t.w.unmarkSent()
 	}
 	switch why {
 	case job.NoReason:
-		s.requeue()
+		t.requeue()
 	case job.OutOfBudget:
-		s.n.park(s.w, domain, s.requeue)
+		t.n.park(t.w, domain, t.requeue)
 	default:
-		s.n.settle(s.w, s.w.quit(why, leastRetry, detail))
+		t.n.settle(t.w, t.w.abort(why, minRetryAfter, detail))
 	}
 }
 
-func (s *share) requeue() {
-	if s.w.push(s.i) {
-		s.n.queues[s.w.class.Band].Return(&s.w.entry)
+func (t *localTask) requeue() {
+	if t.w.push(t.i) {
+		t.n.queues[t.w.class.Band].Return(&t.w.entry)
 	}
 }
--- a/internal/task/flow/receive.go
+++ b/internal/task/flow/receive.go
@@ -7,10 +7,10 @@
 	"dahliawinch/internal/mesh/view"
 )
 
-// Receive takes in a message of one incarnation of a peer. Messages of one peer
-// come in order and one at a time.
+// Receive handles a message from one incarnation of a peer. It is called in order and
+// one at a time for each peer.
 func (n *Node) Receive(from frame.Hello, m frame.Msg) {
-	if n.ctx.Err() != nil || n.stray(m) {
+	if n.ctx.Err() != nil || n.isStale(m) {
 		return
 	}
 	switch m := m.(type) {
@@ -33,8 +33,9 @@
 	}
 }
 
-// stray reports whether a message answers one of a former incarnation, which used the same numbers.
-func (n *Node) stray(m frame.Msg) bool {
+// isStale reports whether a message answers a former incarnation of this VM, which used
+// the same numbers.
+func (n *Node) isStale(m frame.Msg) bool {
 	to := n.cfg.Inc
 	switch m := m.(type) {
 	case *frame.Took:
@@ -44,7 +45,7 @@
 	case *frame.Reply:
 		to = m.To
 	}
-	return to != n.cfg.Inc && to != 0 // versions before this field name none
+	return to != n.cfg.Inc && to != 0 // 0: from a version without this field
 }
 
 func (n *Node) receiveBeat(from frame.Hello, b *frame.Beat) {
@@ -52,40 +53,40 @@
 	was := n.view.Find(from.VM)
 	if c, ok := n.view.Hear(now, from, b); ok {
 		if c.Reborn && was != nil {
-			n.forsake(from.VM, was.Inc)
+			n.dropIncarnation(from.VM, was.Inc)
 		}
-		n.changed(c)
+		n.memberChanged(c)
 	}
 	for _, a := range b.Gone {
 		if e := n.table.Find(a); e != nil && !e.Leaving() {
-			n.leave(a, from.VM.String(), false)
+			n.markLeaving(a, from.VM.String(), false)
 		}
 	}
 	n.quota.Hear(from.VM, b.Use)
 	for _, a := range b.Out {
 		n.health.Hear(now, a)
 	}
-	n.compare(from.VM, b)
+	n.requestNewer(from.VM, b)
 	if b.Room.Urgent > 0 && n.Waiting() > 0 {
 		n.pump()
 	}
 }
 
-// changed acts on a member's new state.
-func (n *Node) changed(c view.Change) {
-	n.parts.Log.Info("member", "vm", c.VM, "state", c.State.String(), "inc", c.Inc)
+// memberChanged handles a new state of a member.
+func (n *Node) memberChanged(c view.Change) {
+	n.deps.Log.Info("member state changed", "vm", c.VM, "state", c.State.String(), "inc", c.Inc)
 	if c.State == view.Gone || c.State == view.Left {
 		n.quota.Forget(c.VM)
 	}
 	if c.State == view.Gone {
-		n.forsake(c.VM, c.Inc)
+		n.dropIncarnation(c.VM, c.Inc)
 	}
 	n.rehome()
 	n.pump()
 }
 
-// forsake gives up on everything that an incarnation was to bring back.
-func (n *Node) forsake(vm netip.AddrPort, inc uint64) {
-	n.lose(vm, inc)
-	n.loseCalls(vm, inc)
+// dropIncarnation ends all groups and calls that an incarnation has not answered.
+func (n *Node) dropIncarnation(vm netip.AddrPort, inc uint64) {
+	n.failGroups(vm, inc)
+	n.failCalls(vm, inc)
 }
--- a/internal/task/flow/spill.go
+++ b/internal/task/flow/spill.go
@@ -11,60 +11,57 @@
 )
 
 const (
-	// mostGiven bounds the tasks of one group.
-	mostGiven = 256
-	// leastRoom is the room below which a peer is not worth a message, unless less
-	// would do.
-	leastRoom = 8
-	// staleGive is the age at which a group is not started any more: its giver has
+	// maxGroupTasks is the largest number of tasks in one group.
+	maxGroupTasks = 256
+	// minRoom is the room that makes a peer worth a message, unless fewer tasks wait.
+	minRoom = 8
+	// maxGiveAge is the age from which a received group is not started: its sender has
 	// very likely answered its callers.
-	staleGive = time.Second
+	maxGiveAge = time.Second
 )
 
-// group is a set of waiting tasks given to a peer with free slots. A task given
-// is an attempt like any other: it may be tried again only if the peer says that
-// it did not start.
+// group is a set of waiting tasks given to a peer with free slots. Like any other
+// attempt, a given task may be retried only if the peer reports that it did not start.
 type group struct {
-	id    uint64
-	peer  netip.AddrPort
-	inc   uint64
-	tasks []given // in the order of the message
-	open  int     // tasks without a word from the peer
-	took  bool
+	id       uint64
+	peer     netip.AddrPort
+	inc      uint64
+	tasks    []givenTask // in the order of the message
+	pending  int         // tasks that the peer has not reported on
+	answered bool        // the peer sent Took
 }
 
-type given struct {
+type givenTask struct {
 	w    *work
 	i    int
 	done bool
 	sent time.Time
 }
 
-// bulkPatience is how much longer bulk work waits before it costs messages.
-const bulkPatience = 5
+// bulkPatienceFactor is how many times longer bulk tasks wait before they cost messages.
+const bulkPatienceFactor = 5
 
-// spill gives waiting tasks to peers that have slots free, the own failure
-// domain's first. One hop only: what comes from a peer never waits in a queue,
-// so it can't be given on.
+// spill gives waiting tasks to peers with free slots, first in this VM's failure
+// domain. Tasks from a peer are never queued, so each makes one hop at most.
 func (n *Node) spill(now time.Time) {
 	if n.Waiting() == 0 || !n.spillMu.TryLock() {
 		return
 	}
 	defer n.spillMu.Unlock()
 	for {
-		most := n.surplus(now)
-		if most == 0 {
+		surplus := n.surplus(now)
+		if surplus == 0 {
 			return
 		}
-		m := n.pick(most)
-		if m == nil || !n.give(m, now, most) {
+		m := n.pickPeer(surplus)
+		if m == nil || !n.giveGroup(m, now, surplus) {
 			return
 		}
 	}
 }
 
-// surplus is how many waiting tasks the own slots will not start soon. Work that
-// starts here within the patience is not worth the messages.
+// surplus returns how many waiting tasks this VM's slots will not start soon. Tasks
+// that start here within the document's patience are not worth the messages.
 func (n *Node) surplus(now time.Time) int {
 	if k := n.queues[job.Urgent].Tasks(); k > 0 {
 		return k
@@ -77,7 +74,7 @@
 	}
 	patience := c.doc.Patience.Std()
 	if routine.Tasks() == 0 {
-		patience *= bulkPatience
+		patience *= bulkPatienceFactor
 	}
 	limit, _ := n.table.Slots(now)
 	mean := (routine.Backlog() + bulk.Backlog()) / time.Duration(waiting)
@@ -85,7 +82,7 @@
 	return max(0, waiting-int(soon))
 }
 
-// roomFor is what a member would start of the most pressing waiting work.
+// roomFor returns a member's room for the most urgent waiting tasks.
 func (n *Node) roomFor(m *view.Member) int {
 	if n.queues[job.Urgent].Tasks() > 0 {
 		return m.Beat.Room.Urgent
@@ -93,12 +90,12 @@
 	return m.Beat.Room.Free
 }
 
-// pick chooses the peer to give to, of the own failure domain if one has room.
-func (n *Node) pick(most int) *view.Member {
+// pickPeer chooses the peer to give tasks to, preferably in this failure domain.
+func (n *Node) pickPeer(count int) *view.Member {
 	var near, far []*view.Member
 	for _, m := range n.view.Members() {
 		switch {
-		case !m.Usable() || n.roomFor(m) < min(most, leastRoom):
+		case !m.Usable() || n.roomFor(m) < min(count, minRoom):
 		case m.Domain == n.cfg.Domain:
 			near = append(near, m)
 		default:
@@ -106,26 +103,26 @@
 		}
 	}
 	if len(near) > 0 {
-		return n.better(near, most)
+		return n.betterOfTwo(near, count)
 	}
-	return n.better(far, most)
+	return n.betterOfTwo(far, count)
 }
 
-// better picks the better of two random members: givers that all picked the best
-// would meet there.
-func (n *Node) better(open []*view.Member, most int) *view.Member {
-	if len(open) == 0 {
+// betterOfTwo returns the better of two random peers: senders that all chose the best
+// one would overload it.
+func (n *Node) betterOfTwo(peers []*view.Member, count int) *view.Member {
+	if len(peers) == 0 {
 		return nil
 	}
-	a, b := open[rand.IntN(len(open))], open[rand.IntN(len(open))]
-	if min(n.roomFor(b), most) > min(n.roomFor(a), most) {
+	a, b := peers[rand.IntN(len(peers))], peers[rand.IntN(len(peers))]
+	if min(n.roomFor(b), count) > min(n.roomFor(a), count) {
 		return b
 	}
 	return a
 }
 
-// give sends one group to a peer; the caller holds spillMu.
-func (n *Node) give(m *view.Member, now time.Time, most int) bool {
+// giveGroup sends one group to a peer; the caller holds spillMu.
+func (n *Node) giveGroup(m *view.Member, now time.Time, count int) bool {
 	g := &group{id: n.serial.Add(1), peer: m.VM, inc: m.Inc}
 	msg := &frame.Give{Group: g.id, At: now}
 	for b := range n.queues {
@@ -133,16 +130,16 @@
 		if job.Band(b) == job.Urgent {
 			room = m.Beat.Room.Urgent
 		}
-		for len(g.tasks) < min(room, most, mostGiven) {
-			e, i, ok := n.next(n.queues[b], now)
+		for len(g.tasks) < min(room, count, maxGroupTasks) {
+			e, i, ok := n.nextTask(n.queues[b], now)
 			if !ok {
 				break
 			}
-			if !e.Job.send() {
+			if !e.Job.markSent() {
 				continue
 			}
 			n.quota.Start(now, e.Job.req.Tenant)
-			g.tasks = append(g.tasks, given{w: e.Job, i: i, sent: now})
+			g.tasks = append(g.tasks, givenTask{w: e.Job, i: i, sent: now})
 			msg.Tasks = append(msg.Tasks, frame.Task{
 				Job: e.Job.id, Index: i, Tenant: e.Job.req.Tenant, Class: e.Job.req.Class, Kind: e.Job.req.Kind,
 				Left: e.Job.due.Sub(now), Task: e.Job.req.Tasks[i],
@@ -152,34 +149,34 @@
 	if len(g.tasks) == 0 {
 		return false
 	}
-	g.open = len(g.tasks)
+	g.pending = len(g.tasks)
 	n.groups[g.id] = g
 	n.view.Load(m.VM, m.Beat.Room.Less(len(g.tasks)))
-	if err := n.parts.Mesh.Cast(m.VM, msg); err != nil {
+	if err := n.deps.Mesh.Cast(m.VM, msg); err != nil {
 		n.view.Load(m.VM, frame.Room{})
-		n.close(g)
-		n.putBack(g, 0)
+		n.deleteGroup(g)
+		n.requeueGroup(g, 0)
 		return true
 	}
-	n.parts.Meter.Waste(meterForward, 1)
+	n.deps.Meter.Waste(meterForward, 1)
 	return true
 }
 
-// close forgets a group; the caller holds spillMu.
-func (n *Node) close(g *group) {
+// deleteGroup removes a group; the caller holds spillMu.
+func (n *Node) deleteGroup(g *group) {
 	delete(n.groups, g.id)
 }
 
-// putBack queues the tasks from an index on again: they did not start.
-func (n *Node) putBack(g *group, from int) {
+// requeueGroup requeues the tasks from an index on, which did not start.
+func (n *Node) requeueGroup(g *group, from int) {
 	for k := from; k < len(g.tasks); k++ {
 		t := &g.tasks[k]
 		if t.done {
 			continue
 		}
 		t.done = true
-		g.open--
-		t.w.unsend()
+		g.pending--
+		t.w.unmarkSent()
 		n.quota.End(t.w.req.Tenant, true)
 		if t.w.push(t.i) {
 			n.queues[t.w.class.Band].Return(&t.w.entry)
@@ -187,40 +184,40 @@
 	}
 }
 
-// receiveTook queues again what the peer did not take.
+// receiveTook requeues the tasks that the peer did not start.
 func (n *Node) receiveTook(from frame.Hello, t *frame.Took) {
 	n.view.Load(from.VM, t.Room)
 	n.spillMu.Lock()
 	g := n.groups[t.Group]
-	if g != nil && g.peer == from.VM && !g.took {
-		g.took = true
-		n.putBack(g, min(max(t.N, 0), len(g.tasks)))
-		if g.open == 0 {
-			n.close(g)
+	if g != nil && g.peer == from.VM && !g.answered {
+		g.answered = true
+		n.requeueGroup(g, min(max(t.N, 0), len(g.tasks)))
+		if g.pending == 0 {
+			n.deleteGroup(g)
 		}
 	}
 	n.spillMu.Unlock()
 	n.pump()
 }
 
-// receiveBack gathers what came home.
+// receiveBack records the tasks that ended on a peer.
 func (n *Node) receiveBack(from frame.Hello, b *frame.Back) {
 	n.view.Load(from.VM, b.Room)
 	now := n.now()
 	for _, e := range b.Ended {
-		t := n.claim(from, b.Group, e)
+		t := n.claimGiven(from, b.Group, e)
 		if t == nil {
-			n.parts.Meter.Waste(meterDuplicate, 1)
+			n.deps.Meter.Waste(meterDuplicate, 1)
 			continue
 		}
-		s := &share{n: n, w: t.w, i: t.i}
+		s := &localTask{n: n, w: t.w, i: t.i}
 		switch e.Fate {
 		case frame.Ran:
 			s.ran(e.Body, now.Sub(t.sent))
 		case frame.RanBadly:
-			s.ranBadly(e.Detail)
+			s.failed(e.Detail)
 		case frame.NotRun:
-			s.notRun(true, n.retry(now, from.Domain), from.Domain, e.Detail)
+			s.notStarted(true, n.takeRetry(now, from.Domain), from.Domain, e.Detail)
 		case frame.Uncertain:
 			s.lost(e.Detail)
 		}
@@ -228,8 +225,9 @@
 	n.pump()
 }
 
-// claim finds the given task that an ended one belongs to, once.
-func (n *Node) claim(from frame.Hello, id uint64, e frame.Ended) *given {
+// claimGiven marks the given task that e reports on as done. It returns nil if there is
+// no such open task.
+func (n *Node) claimGiven(from frame.Hello, id uint64, e frame.Ended) *givenTask {
 	n.spillMu.Lock()
 	defer n.spillMu.Unlock()
 	g := n.groups[id]
@@ -242,19 +240,19 @@
 			continue
 		}
 		t.done = true
-		g.open--
-		if g.open == 0 {
-			n.close(g)
+		g.pending--
+		if g.pending == 0 {
+			n.deleteGroup(g)
 		}
 		return t
 	}
 	return nil
 }
 
-// lose ends the groups of a peer that is gone or was born again: whether their
-// tasks started nobody can say.
-func (n *Node) lose(vm netip.AddrPort, inc uint64) {
-	var lost []given
+// failGroups ends the groups of a peer that is gone or has restarted, since it is
+// unknown whether their tasks started.
+func (n *Node) failGroups(vm netip.AddrPort, inc uint64) {
+	var lost []givenTask
 	n.spillMu.Lock()
 	for _, g := range n.groups {
 		if g.peer != vm || g.inc != inc {
@@ -266,11 +264,11 @@
 				lost = append(lost, g.tasks[k])
 			}
 		}
-		n.close(g)
+		n.deleteGroup(g)
 	}
 	n.spillMu.Unlock()
 	for _, t := range lost {
-		s := &share{n: n, w: t.w, i: t.i}
+		s := &localTask{n: n, w: t.w, i: t.i}
 		s.lost("the VM " + vm.String() + " that had taken it is gone")
 	}
 }
--- a/internal/task/flow/stats.go
+++ b/internal/task/flow/stats.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Stats is a node's state at one moment, for operators.
+// Stats is a snapshot of a node's state for operators.
 type Stats struct {
 	Now    time.Time
 	VM     netip.AddrPort
 	Domain string
 	Inc    uint64
-	Known  int // endpoints of the platform's list
-	Slots  int // that this VM may use by health
+	Known  int // endpoints in the platform's list, without those excluded or leaving
+	Slots  int // slots that this VM may use, by endpoint health
 	Free   int
-	Out    int // endpoints ejected
+	Out    int // ejected endpoints
 }
 
 // Stats returns the node's state.
--- a/internal/task/flow/submit.go
+++ b/internal/task/flow/submit.go
@@ -9,7 +9,7 @@
 	"dahliawinch/internal/task/queue"
 )
 
-// Ident finds the tenant of a caller's key.
+// Authenticate returns the tenant of a caller's key, or a refusal.
 func (n *Node) Ident(key string) (tenant string, refusal *job.Answer) {
 	c := n.conf.Load()
 	if c == nil {
@@ -22,7 +22,7 @@
 	return tenant, nil
 }
 
-// Class returns a declared class.
+// Class returns the class declared under a name.
 func (n *Node) Class(name string) (doc.Class, bool) {
 	c := n.conf.Load()
 	if c == nil {
@@ -32,12 +32,11 @@
 	return k, ok
 }
 
-// Elsewhere words a refusal of this VM for a submission under a ticket.
+// AsUnknown turns this VM's refusal of a submission under a ticket into "unknown".
 //
-// What goes wrong without it: a caller sends a submission to two VMs; one has just
-// started, knows no document and says "refused, nothing was run", while the other runs
-// it. One notices a refusal of work that an endpoint started. Only the VM that issued
-// the ticket knows that no copy runs, so any other says "unknown".
+// Only the VM that issued the ticket knows that no copy runs. If a caller sends a
+// submission to two VMs and one of them has just started and knows no document, that
+// one must not answer "refused, nothing was run" while the other runs it.
 func Elsewhere(a *job.Answer) *job.Answer {
 	if a.Outcome != job.Refused {
 		return a
@@ -49,38 +48,38 @@
 	return job.Refuse(job.NoDocument, time.Second, "this VM knows no configuration yet; nothing was run")
 }
 
-// Submit takes one submission to its answer. It returns when the answer is
-// final, at the latest when the submission's time is over.
+// Submit runs one submission and returns its final answer, at the latest when the
+// submission's time is over.
 func (n *Node) Submit(ctx context.Context, req *job.Request) *job.Answer {
 	n.active.Add(1)
 	defer n.active.Add(-1)
 	if req.Ticket != "" {
-		return n.granted(req, n.ticketed(ctx, req))
+		return n.addTickets(req, n.runTicketed(ctx, req))
 	}
 	c := n.conf.Load()
 	if c == nil {
 		return noDocument()
 	}
-	if a := n.check(c, req); a != nil {
+	if a := n.validate(c, req); a != nil {
 		return a
 	}
-	return n.granted(req, n.plain(ctx, req))
+	return n.addTickets(req, n.runUnticketed(ctx, req))
 }
 
-// plain runs a submission without a ticket, here or on a peer: when this VM leaves, or has not read
-// the platform's list, which its neighbours have.
-func (n *Node) plain(ctx context.Context, req *job.Request) *job.Answer {
+// runUnticketed runs a submission without a ticket, on a peer if this VM drains or has
+// not read the platform's list yet, else here.
+func (n *Node) runUnticketed(ctx context.Context, req *job.Request) *job.Answer {
 	if n.draining.Load() || n.table.Known() == 0 {
-		if a := n.handOver(ctx, req); a != nil {
+		if a := n.forwardAny(ctx, req); a != nil {
 			return a
 		}
 	}
 	return n.run(ctx, req)
 }
 
-// granted adds the tickets that the caller asked for, so that taking them costs
-// no round trip of its own.
-func (n *Node) granted(req *job.Request, a *job.Answer) *job.Answer {
+// addTickets adds the tickets that the caller requested to the answer, which saves the
+// caller a round trip.
+func (n *Node) addTickets(req *job.Request, a *job.Answer) *job.Answer {
 	if req.Grant <= 0 || n.draining.Load() {
 		return a
 	}
@@ -93,40 +92,40 @@
 	return &b
 }
 
-// run admits, queues and awaits a submission on this VM.
+// run admits and queues a submission on this VM and waits for its answer.
 func (n *Node) run(ctx context.Context, req *job.Request) *job.Answer {
 	now := n.now()
 	c := n.conf.Load()
 	class := c.doc.Classes[req.Class]
 	if a := n.admit(c, class, req, now); a != nil {
-		n.parts.Meter.Answered(req.Tenant, req.Class, a, 0, 0)
+		n.deps.Meter.Answered(req.Tenant, req.Class, a, 0, 0)
 		return a
 	}
 	size := req.Bytes()
 	n.bytes.Add(size)
-	w := n.accept(c, class, req, now)
+	w := n.enqueue(c, class, req, now)
 	select {
 	case <-w.done:
 	case <-ctx.Done():
-		n.settle(w, w.quit(job.Canceled, 0, "cancelled by its caller"))
+		n.settle(w, w.abort(job.Canceled, 0, "cancelled by its caller"))
 		<-w.done
 	case <-n.ctx.Done():
-		n.settle(w, w.quit(job.Leaving, leastRetry, "this VM ended"))
+		n.settle(w, w.abort(job.Leaving, minRetryAfter, "this VM ended"))
 		<-w.done
 	}
 	n.bytes.Add(-size)
 	return w.answer
 }
 
-// accept queues an admitted submission.
-func (n *Node) accept(c *conf, class doc.Class, req *job.Request, now time.Time) *work {
+// enqueue queues an admitted submission.
+func (n *Node) enqueue(c *conf, class doc.Class, req *job.Request, now time.Time) *work {
 	w := newWork(n.serial.Add(1), req, class, now)
 	w.entry = queue.Entry[*work]{
 		Job: w, Tenant: req.Tenant, Weight: c.doc.Tenants[req.Tenant].Weight,
 		Cost: n.learn.Expect(w.key, req.Tasks[0].Run).Mean, Tasks: len(req.Tasks), Due: w.due,
 	}
-	w.expiry = n.parts.Timers.After(req.Left, func() {
-		n.settle(w, w.quit(job.Deadline, 0, "its time ran out"))
+	w.expiry = n.deps.Timers.After(req.Left, func() {
+		n.settle(w, w.abort(job.Deadline, 0, "its time ran out"))
 	})
 	n.quota.Want(req.Tenant, len(req.Tasks))
 	n.queues[class.Band].Push(now, &w.entry)
@@ -134,17 +133,17 @@
 	return w
 }
 
-// settle ends a job whose answer was just fixed: what still waits leaves the
-// queue, and the caller is told at once.
+// settle ends a job whose answer was just set: it drops the tasks that still wait and
+// wakes the caller.
 func (n *Node) settle(w *work, a *job.Answer) {
 	if a == nil {
 		return
 	}
 	w.expiry.Stop()
 	n.quota.Drop(w.req.Tenant, n.queues[w.class.Band].Drop(&w.entry))
-	n.parts.Meter.Answered(w.req.Tenant, w.req.Class, a, n.now().Sub(w.began), w.longest)
+	n.deps.Meter.Answered(w.req.Tenant, w.req.Class, a, n.now().Sub(w.acceptedAt), w.longestRun)
 	if a.Outcome == job.Unknown || a.Outcome == job.Failed {
-		n.parts.Log.Info("job not done", "tenant", w.req.Tenant, "class", w.req.Class, "outcome", a.Outcome.String(), "reason", string(a.Reason), "detail", a.Detail)
+		n.deps.Log.Info("job not done", "tenant", w.req.Tenant, "class", w.req.Class, "outcome", a.Outcome.String(), "reason", string(a.Reason), "detail", a.Detail)
 	}
 	close(w.done)
 }
--- a/internal/task/flow/work.go
+++ b/internal/task/flow/work.go
@@ -11,33 +11,33 @@
 	"dahliawinch/internal/task/queue"
 )
 
-// work is one accepted submission until it is answered.
+// work is one accepted submission that is not answered yet.
 type work struct {
-	id    uint64
-	req   *job.Request
-	class doc.Class
-	key   learn.Key
-	began time.Time
-	due   time.Time
-	entry queue.Entry[*work]
+	id         uint64
+	req        *job.Request
+	class      doc.Class
+	key        learn.Key
+	acceptedAt time.Time
+	due        time.Time
+	entry      queue.Entry[*work]
 
-	mu      sync.Mutex
-	waiting []int // indices of tasks that have not started
-	results [][]byte
-	left    int // tasks without an answer
-	ev      job.Evidence
-	longest time.Duration
-	answer  *job.Answer
-	done    chan struct{}
-	expiry  *timer.Timer
+	mu         sync.Mutex
+	waiting    []int // indices of tasks that have not started
+	results    [][]byte
+	unanswered int // tasks without a result
+	evidence   job.Evidence
+	longestRun time.Duration
+	answer     *job.Answer
+	done       chan struct{}
+	expiry     *timer.Timer
 }
 
 func newWork(id uint64, req *job.Request, class doc.Class, now time.Time) *work {
 	n := len(req.Tasks)
 	w := &work{
-		id: id, req: req, class: class, began: now, due: now.Add(req.Left),
+		id: id, req: req, class: class, acceptedAt: now, due: now.Add(req.Left),
 		key:     learn.Key{Tenant: req.Tenant, Kind: req.Kind},
-		waiting: make([]int, n), results: make([][]byte, n), left: n,
+		waiting: make([]int, n), results: make([][]byte, n), unanswered: n,
 		done: make(chan struct{}),
 	}
 	for i := range n {
@@ -46,7 +46,7 @@
 	return w
 }
 
-// pop takes a waiting task; ok is false once the job is settled.
+// pop takes a waiting task; ok is false if none waits or the job is settled.
 func (w *work) pop() (i int, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -59,8 +59,8 @@
 	return i, true
 }
 
-// push puts a task back that proved not to have started; ok is false once the
-// job is settled.
+// push puts back a task that certainly did not start; ok is false once the job is
+// settled.
 func (w *work) push(i int) (ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -71,79 +71,79 @@
 	return true
 }
 
-// send notes that a task is about to leave, and refuses when the job is settled.
-func (w *work) send() bool {
+// markSent counts a task that is about to be sent; it fails once the job is settled.
+func (w *work) markSent() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.answer != nil {
 		return false
 	}
-	w.ev.Sent++
+	w.evidence.Sent++
 	return true
 }
 
-// unsend takes a send back: the task is proven not to have started.
-func (w *work) unsend() {
+// unmarkSent reverts markSent for a task that certainly did not start.
+func (w *work) unmarkSent() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.ev.Sent--
+	w.evidence.Sent--
 }
 
-// gather takes in the result of one task; when it is the last, the job is done.
-func (w *work) gather(i int, body []byte, ran time.Duration) *job.Answer {
+// addResult records the result of one task; the last one completes the job.
+func (w *work) addResult(i int, body []byte, ran time.Duration) *job.Answer {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.ev.Sent--
-	w.ev.Answered++
+	w.evidence.Sent--
+	w.evidence.Answered++
 	if w.answer != nil || w.results[i] != nil {
-		return nil // late: the caller has its answer
+		return nil // the caller has its answer, or this is a duplicate
 	}
-	w.longest = max(w.longest, ran)
+	w.longestRun = max(w.longestRun, ran)
 	if body == nil {
 		body = []byte{}
 	}
 	w.results[i] = body
-	w.left--
-	if w.left > 0 {
+	w.unanswered--
+	if w.unanswered > 0 {
 		return nil
 	}
-	return w.settle(&job.Answer{Outcome: job.Done, Results: w.results})
+	return w.setAnswer(&job.Answer{Outcome: job.Done, Results: w.results})
 }
 
-// fail notes a task that ran badly or went silent and ends the job.
+// fail records a task that failed or did not answer and ends the job.
 func (w *work) fail(answered bool, why job.Reason, detail string) *job.Answer {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.ev.Sent--
+	w.evidence.Sent--
 	if answered {
-		w.ev.Answered++
+		w.evidence.Answered++
 	} else {
-		w.ev.Silent++
+		w.evidence.Silent++
 	}
-	return w.end(why, 0, detail)
+	return w.endLocked(why, 0, detail)
 }
 
-// quit ends the job for a reason of its own; nil if it had ended.
-func (w *work) quit(why job.Reason, retry time.Duration, detail string) *job.Answer {
+// abort ends the job without a task's result; it returns nil if the job had ended.
+func (w *work) abort(why job.Reason, retry time.Duration, detail string) *job.Answer {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.end(why, retry, detail)
+	return w.endLocked(why, retry, detail)
 }
 
-// end answers by the evidence; the caller holds the lock.
-func (w *work) end(why job.Reason, retry time.Duration, detail string) *job.Answer {
+// endLocked sets the answer by the evidence; the caller holds mu.
+func (w *work) endLocked(why job.Reason, retry time.Duration, detail string) *job.Answer {
 	if w.answer != nil {
 		return nil
 	}
-	return w.settle(&job.Answer{Outcome: w.ev.Outcome(), Reason: why, Retry: retry, Detail: detail})
+	return w.setAnswer(&job.Answer{Outcome: w.evidence.Outcome(), Reason: why, Retry: retry, Detail: detail})
 }
 
-// settle fixes the answer; the caller holds the lock.
-func (w *work) settle(a *job.Answer) *job.Answer {
+// setAnswer sets the final answer; the caller holds mu.
+func (w *work) setAnswer(a *job.Answer) *job.Answer {
 	w.answer = a
 	w.waiting = nil
 	if a.Outcome != job.Done {
-		w.results = nil // nothing partial is ever handed out
+		w.results = nil // partial results are never returned
 	}
 	return a
 }
