--- a/internal/mesh/claim/choose.go
+++ b/internal/mesh/claim/choose.go
@@ -8,68 +8,67 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// best returns the VM that should own a group that nobody owns: one of its own domain,
-// else any, by rendezvous hashing weighted by what each can carry, so that a VM's groups
-// spread over all others when it goes. What an owner that stays hands over goes to the VM with
-// the least to carry.
-func (b *Book) best(now time.Time, g Seat, peers []Peer, giving netip.AddrPort) (best netip.AddrPort) {
-	if vm := b.relief(now, g, peers, giving); vm.IsValid() {
+// best returns the VM that should own an unowned group, by rendezvous hashing weighted by power, so that
+// the groups of a lost VM spread over all others. VMs of the group's own failure domain come first, then
+// those of its fallback domain, then any. A group handed over by a VM that stays goes to the least loaded neighbour.
+func (t *Book) best(now time.Time, g Seat, peers []Peer, from netip.AddrPort) (best netip.AddrPort) {
+	if vm := t.successor(now, g, peers, from); vm.IsValid() {
 		return vm
 	}
-	top, class, key := 0.0, 0, g.key()
-	deputy := b.deputy(key, peers)
-	look := func(vm netip.AddrPort, domain string, power float64, strained bool) {
-		c := 0 // its own domain first, then its deputy, and in each those that aren't strained
+	topWeight, tier, key := 0.0, 0, g.key()
+	fallback := t.fallbackDomain(key, peers)
+	consider := func(vm netip.AddrPort, domain string, power float64, strained bool) {
+		c := 0 // own domain, then fallback domain, then others; in each, VMs that aren't strained first
 		switch domain {
 		case g.Domain:
 			c = 4
-		case deputy:
+		case fallback:
 			c = 2
 		}
 		if !strained {
 			c++
 		}
 		w := weight(key, vm, power)
-		if !best.IsValid() || c > class || (c == class && w > top) {
-			best, top, class = vm, w, c
+		if !best.IsValid() || c > tier || (c == tier && w > topWeight) {
+			best, topWeight, tier = vm, w, c
 		}
 	}
-	if b.self != giving {
-		look(b.self, b.domain, b.power, b.strained)
+	if t.self != from {
+		consider(t.self, t.domain, t.power, t.strained)
 	}
 	for _, p := range peers {
-		if p.Live && !p.Leaving && p.VM != giving {
-			look(p.VM, p.Domain, p.Power, p.Strained)
+		if p.Live && !p.Leaving && p.VM != from {
+			consider(p.VM, p.Domain, p.Power, p.Strained)
 		}
 	}
 	return best
 }
 
-// deputy is the failure domain whose VMs own a unit of a domain that has none left.
+// fallbackDomain returns the failure domain whose VMs own the units of a domain that has no VM left.
 //
-// What goes wrong if it is the best of all VMs that this one knows: in a large deployment each keeps
-// links to a part of the other domains' VMs. Those that don't know each other claim the same groups,
-// take them from each other, and jobs on them fail. One notices groups that are dropped for a higher
-// fence. Every VM knows some VMs of each domain, and all of its own: so they agree on the deputy, and
-// its VMs agree on the owner.
-func (b *Book) deputy(key string, peers []Peer) (best string) {
-	top := uint64(0)
-	look := func(domain string) {
-		if w := xxhash.Sum64String(key + "|" + domain); best == "" || w > top {
-			best, top = domain, w
+// Choosing the best of all known VMs instead would cause conflicts: in a large deployment each VM has links
+// to only some VMs of other domains. VMs that don't know each other would claim the same groups and take them
+// from each other, and jobs on them would fail; the logs show groups dropped for a higher fence. Every VM
+// knows some VMs of each domain and all of its own, so all agree on the fallback domain, and its VMs agree
+// on the owner.
+func (t *Book) fallbackDomain(key string, peers []Peer) (best string) {
+	topHash := uint64(0)
+	consider := func(domain string) {
+		if w := xxhash.Sum64String(key + "|" + domain); best == "" || w > topHash {
+			best, topHash = domain, w
 		}
 	}
-	look(b.domain)
+	consider(t.domain)
 	for _, p := range peers {
-		if p.Domain != b.domain && p.Live && !p.Leaving {
-			look(p.Domain)
+		if p.Domain != t.domain && p.Live && !p.Leaving {
+			consider(p.Domain)
 		}
 	}
 	return best
 }
 
-// weight is a VM's score for a key: the highest of all is drawn with a chance that grows
-// with the square of its power, since a weak owner holds up all jobs of its pool.
+// weight returns a VM's rendezvous score for a key. The chance of the highest score grows with the square
+// of the power, since a weak owner delays all jobs of its pool.
 func weight(key string, vm netip.AddrPort, power float64) float64 {
 	if power <= 0 {
 		power = 1
--- a/internal/mesh/claim/claim.go
+++ b/internal/mesh/claim/claim.go
@@ -1,6 +1,5 @@
-// Package claim decides which VM owns which group of endpoints. Each VM decides from
-// its own view; nothing has to be agreed on, because the endpoints themselves obey only
-// the highest fence. Wrong views therefore cost messages, not safety.
+// Package claim decides which VM owns which group of endpoints. Each VM decides from its own view, without
+// consensus: endpoints obey only the highest fence, so a wrong view costs messages, not safety.
 package claim
 
 import (
@@ -17,141 +16,142 @@
 )
 
 const (
-	// patience is how long a VM of a group's own failure domain must be there before a
-	// VM of another domain hands the group over: it may be one that keeps restarting.
-	patience = 2 * time.Second
-	// calm is how long an owner and the VM that it hands a unit to must have been there:
-	// more than a VM takes to start and be heard by all.
-	calm = 4 * time.Second
-	// step is added to a fence that proved too low. Fences start from the time of day,
+	// handBackAfter is how long a VM of a group's own failure domain must be up before an
+	// owner in another domain hands the group over: the VM may be restarting repeatedly.
+	handBackAfter = 2 * time.Second
+	// stableAfter is how long an owner must have had a unit, and its receiver must have been up,
+	// before a handover: more than a VM takes to start and be heard by all.
+	stableAfter = 4 * time.Second
+	// fenceStep is added to a fence that proved too low. Fences start from the wall clock,
 	// which differs between VMs by a few seconds at most.
-	step = 10_000 << spare
-	// spare low bits keep fences of different VMs apart that claim in the same millisecond. With
-	// them a fence of today's time of day stays below 2^53, up to which JSON numbers are exact.
-	spare = 12
+	fenceStep = 10_000 << fenceLowBits
+	// fenceLowBits low bits, hashed from the address, separate fences that VMs create in the same millisecond.
+	// With 12 of them a fence of today's wall clock stays below 2^53, up to which JSON numbers are exact.
+	fenceLowBits = 12
 )
 
 // Peer is another VM as this one sees it.
 type Peer struct {
 	VM      netip.AddrPort
 	Domain  string
-	Live    bool // heard lately
-	Listed  bool // known by name and never heard
-	Absent  bool // listed, and its machine does not answer or runs no process
-	Silent  bool // not heard for a while, but not given up
+	Live    bool // heard recently
+	Listed  bool // known by name, never heard
+	Absent  bool // listed, but its machine does not answer or runs no process
+	Silent  bool // not heard for a while, but not considered lost
 	Leaving bool
-	// Strained says that its messages reach the others late.
+	// Strained is set while its messages reach the others late.
 	Strained bool
-	Since    time.Time // since when it is there
-	Power    float64   // cores that it may use; 0 counts as 1
+	Since    time.Time // when it came up
+	Power    float64   // CPU cores it may use; 0 counts as 1
 	Claims   []frame.Claim
 }
 
-// Own is a group that this VM owns.
+// Ownership is this VM's claim on a group.
 type Own struct {
 	Fence  uint64
 	Giving bool
 	since  time.Time
 }
 
-// Book holds this VM's claims; the caller serializes all calls.
+// Table holds this VM's claims. It is not safe for concurrent use.
 type Book struct {
-	self   netip.AddrPort
-	domain string
-	power  float64
-	began  time.Time
-	top    uint64 // highest fence heard of or used
-	own    map[Group]*Own
-	shun   map[Group]*rest
-	listed bool // the store's list of VMs was read
-	// strained says that this VM's messages reach the others late.
+	self     netip.AddrPort
+	domain   string
+	power    float64
+	began    time.Time
+	maxFence uint64 // highest fence seen or used
+	owned    map[Group]*Own
+	backoffs map[Group]*backoff
+	listRead bool // the store's list of VMs has been read
+	// strained is set while this VM's messages reach the others late.
 	strained bool
-	// isolated says that this VM seems to be cut off from all others; alone is when it last did, and
-	// unheard when none of them had been heard yet.
-	isolated       bool
-	alone, unheard time.Time
-	// defers says that a VM of the own domain that is not heard owns endpoints there, and deferred when it
-	// last did; heir says that none of those that are not heard is there, and last that no other VM at all is.
-	defers, heir, last bool
-	deferred           time.Time
-	// cutOff says that this VM hears nobody though others live, and cut when it last did.
-	cutOff bool
-	cut    time.Time
-	// claims is filled anew by each round; a map for each would be a fifth of all that a VM
-	// among 97 allocates.
+	// isolated is set while this VM seems to be cut off from all others. lastIsolated is when it last was.
+	// lastUnheard is the last round in which it had not heard any of them yet.
+	isolated                  bool
+	lastIsolated, lastUnheard time.Time
+	// deferring is set while a VM of this failure domain that is not heard owns endpoints there;
+	// lastDeferring is when it last was. neighboursLost is set while all unheard VMs of this domain are known
+	// to be down, allLost while all other VMs are.
+	deferring, neighboursLost, allLost bool
+	lastDeferring                      time.Time
+	// cutOff is set while this VM hears nobody though others are up; lastCutOff is when it last was.
+	cutOff     bool
+	lastCutOff time.Time
+	// claims is rebuilt in each round. Allocating a new map each time made up a fifth of all allocations
+	// of a VM among 97.
 	claims map[Group]claimant
-	// units counts the units of the own domain that each VM owns; filled anew by each round.
+	// units counts the units of this failure domain that each VM owns; it is rebuilt in each round.
 	units map[netip.AddrPort]int
 }
 
-// rest is how long a group is left alone for which another VM had a higher fence.
-type rest struct {
+// backoff is a pause before claiming a group again for which another VM had a higher fence.
+type backoff struct {
 	until time.Time
 	next  time.Duration
 }
 
 const (
-	// restLeast and restMost bound the pause after a group proved to be another's of
-	// which this VM hears nothing. Both would else take it from each other by turns.
-	restLeast = 3 * time.Second
-	restMost  = 60 * time.Second
+	// minBackoff and maxBackoff bound the pause after a group turned out to belong to a VM
+	// that this one can't hear. Without it the two would keep taking the group from each other.
+	minBackoff = 3 * time.Second
+	maxBackoff = 60 * time.Second
 )
 
-// New returns a book without claims.
+// New returns a table without claims.
 func New(self netip.AddrPort, domain string, power float64, now time.Time) *Book {
-	// As heartbeats tell it: what one VM reckons of another must be what that one reckons of itself.
+	// Rounded as in heartbeats, so that this VM computes the same weight for itself as others do.
 	power = float64(float32(power))
-	return &Book{self: self, domain: domain, power: power, began: now, own: map[Group]*Own{}, shun: map[Group]*rest{}, claims: map[Group]claimant{}, units: map[netip.AddrPort]int{}}
+	return &Book{self: self, domain: domain, power: power, began: now, owned: map[Group]*Own{}, backoffs: map[Group]*backoff{}, claims: map[Group]claimant{}, units: map[netip.AddrPort]int{}}
 }
 
-// Owns returns the claim on a group, or nil.
-func (b *Book) Owns(g Group) *Own { return b.own[g] }
+// Owns returns this VM's claim on a group, or nil.
+func (t *Book) Owns(g Group) *Own { return t.owned[g] }
 
-// Groups lists the groups that are claimed, by domain and fence.
-func (b *Book) Groups() []Group {
-	gs := make([]Group, 0, len(b.own))
-	for g := range b.own {
+// Groups returns the owned groups, sorted by domain and fence.
+func (t *Book) Groups() []Group {
+	gs := make([]Group, 0, len(t.owned))
+	for g := range t.owned {
 		gs = append(gs, g)
 	}
 	slices.SortFunc(gs, func(x, y Group) int {
-		return cmp.Or(cmp.Compare(x.Domain, y.Domain), cmp.Compare(b.own[x].Fence, b.own[y].Fence), cmp.Compare(x.Shard, y.Shard))
+		return cmp.Or(cmp.Compare(x.Domain, y.Domain), cmp.Compare(t.owned[x].Fence, t.owned[y].Fence), cmp.Compare(x.Shard, y.Shard))
 	})
 	return gs
 }
 
-// Fence returns a number above all that were heard of, unlike that of any other VM.
-func (b *Book) Fence(now time.Time) uint64 {
-	low := xxhash.Sum64String(b.self.String()) & (1<<spare - 1)
-	f := uint64(now.UnixMilli())<<spare | low
-	if f <= b.top {
-		f = (b.top>>spare+1)<<spare | low
+// NextFence returns a fence that is above all known ones and differs from those of other VMs.
+func (t *Book) NextFence(now time.Time) uint64 {
+	low := xxhash.Sum64String(t.self.String()) & (1<<fenceLowBits - 1)
+	f := uint64(now.UnixMilli())<<fenceLowBits | low
+	if f <= t.maxFence {
+		f = (t.maxFence>>fenceLowBits+1)<<fenceLowBits | low
 	}
-	b.top = f
+	t.maxFence = f
 	return f
 }
 
-// Raise notes that a fence was too low, though none higher was heard of.
-func (b *Book) Raise(fence uint64) { b.top = max(b.top, fence+step) }
+// Raise records that a fence was too low, though no higher one is known.
+func (t *Book) Raise(fence uint64) { t.maxFence = max(t.maxFence, fence+fenceStep) }
 
-// Drop gives up a group at once.
-func (b *Book) Drop(g Group) { delete(b.own, g) }
+// Drop removes the claim on a group.
+func (t *Book) Drop(g Group) { delete(t.owned, g) }
 
-// Shun gives up a group that another VM has and leaves it alone for a while, which is
-// returned: longer each time.
-func (b *Book) Shun(now time.Time, g Group) time.Duration {
-	delete(b.own, g)
-	r := b.shun[g]
+// BackOff drops the claim on a group that another VM owns and returns how long this VM won't claim it
+// again. The time doubles with each call.
+func (t *Book) Shun(now time.Time, g Group) time.Duration {
+	delete(t.owned, g)
+	r := t.backoffs[g]
 	if r == nil {
-		r = &rest{next: restLeast}
-		b.shun[g] = r
+		r = &backoff{next: minBackoff}
+		t.backoffs[g] = r
 	}
 	d := r.next
-	r.until, r.next = now.Add(d), min(2*d, restMost)
+	r.until, r.next = now.Add(d), min(2*d, maxBackoff)
 	return d
 }
 
-func (b *Book) shunned(now time.Time, g Seat) bool {
-	r := b.shun[g.Group]
+func (t *Book) backingOff(now time.Time, g Seat) bool {
+	r := t.backoffs[g.Group]
 	return r != nil && now.Before(r.until)
 }
 
@@ -159,12 +159,12 @@
 type Change struct {
 	Group  Group
 	Fence  uint64
-	Giving bool   // hand over
-	Lost   bool   // another VM has it
+	Giving bool   // hand the group over
+	Lost   bool   // another VM owns it
 	Why    string // for the log
 }
 
-// Group of endpoints that has one owner.
+// Group identifies a group of endpoints that has one owner.
 type Group struct {
 	Domain string
 	Shard  uint8 // of the domain's endpoints, below 64
@@ -172,79 +172,79 @@
 
 func (g Group) String() string { return g.Domain + "/" + strconv.Itoa(int(g.Shard)) }
 
-// Seat is a group that needs an owner.
+// Candidate is a group that this VM owns or may claim.
 type Seat struct {
 	Group
-	Unit int // groups of one unit are best owned by one VM
+	Unit int // groups of one unit should have the same owner
 }
 
 func (s Seat) key() string { return s.Domain + "#" + strconv.Itoa(s.Unit) }
 
-// Decide looks at all groups and returns what changed.
-func (b *Book) Decide(now time.Time, leaving bool, seats []Seat, peers []Peer) (changes []Change) {
-	clear(b.claims)
-	sum(b.claims, peers)
+// Decide runs one round over all candidates and returns the changes.
+func (t *Book) Decide(now time.Time, leaving bool, candidates []Seat, peers []Peer) (changes []Change) {
+	clear(t.claims)
+	addClaims(t.claims, peers)
 	for _, p := range peers {
 		for _, c := range p.Claims {
-			b.top = max(b.top, c.Fence)
+			t.maxFence = max(t.maxFence, c.Fence)
 		}
 	}
-	fence := uint64(0) // one for all groups of a round, so that a heartbeat names it once
-	b.count(seats, peers)
-	b.listen(now, peers)
-	spare := b.spare(now, seats, peers)
-	relieved := b.relieved(peers)
-	for _, g := range seats {
-		on := b.claims[g.Group]
-		if mine := b.own[g.Group]; mine != nil {
-			if spare != "" && g.key() == spare && !mine.Giving {
+	fence := uint64(0) // shared by all groups of a round, so that a heartbeat carries it once
+	t.countUnits(candidates, peers)
+	t.recordSilence(now, peers)
+	surplus := t.surplusUnit(now, candidates, peers)
+	handOver := t.canHandOver(peers)
+	for _, g := range candidates {
+		current := t.claims[g.Group]
+		if mine := t.owned[g.Group]; mine != nil {
+			if surplus != "" && g.key() == surplus && !mine.Giving {
 				mine.Giving = true
-				changes = append(changes, Change{Group: g.Group, Fence: mine.Fence, Giving: true, Why: "a neighbour has less to carry"})
+				changes = append(changes, Change{Group: g.Group, Fence: mine.Fence, Giving: true, Why: "a neighbour has a lower load"})
 				continue
 			}
-			if c, ok := b.keep(now, g, mine, on, leaving, relieved, peers); ok {
+			if c, ok := t.review(now, g, mine, current, leaving, handOver, peers); ok {
 				changes = append(changes, c)
 			}
 			continue
 		}
-		if leaving || !b.mayClaim(now, g.Group) || on.kept || b.shunned(now, g) || !b.settled(now, g, peers) || b.best(now, g, peers, on.giving) != b.self {
+		if leaving || !t.mayClaim(now, g.Group) || current.owned || t.backingOff(now, g) || !t.settled(now, g, peers) || t.best(now, g, peers, current.handedBy) != t.self {
 			continue
 		}
 		if fence == 0 {
-			fence = b.Fence(now)
+			fence = t.NextFence(now)
 		}
-		b.own[g.Group] = &Own{Fence: fence, since: now}
+		t.owned[g.Group] = &Own{Fence: fence, since: now}
 		changes = append(changes, Change{Group: g.Group, Fence: fence, Why: "no VM owns it"})
 	}
 	return changes
 }
 
-// relieved reports whether a neighbour can take over what this VM owns.
-func (b *Book) relieved(peers []Peer) bool {
-	return b.strained && slices.ContainsFunc(peers, func(p Peer) bool { return p.Domain == b.domain && p.fit() })
+// canHandOver reports whether this VM is strained and a neighbour can take its groups.
+func (t *Book) canHandOver(peers []Peer) bool {
+	return t.strained && slices.ContainsFunc(peers, func(p Peer) bool { return p.Domain == t.domain && p.healthy() })
 }
 
-// fit reports whether a VM is there to stay and can be relied on.
-func (p Peer) fit() bool { return p.Live && !p.Silent && !p.Leaving && !p.Strained }
+// healthy reports whether a VM is heard, in time, and not leaving.
+func (p Peer) healthy() bool { return p.Live && !p.Silent && !p.Leaving && !p.Strained }
 
-// Listed tells the book that the store's list of VMs was read: all neighbours are known.
-func (b *Book) Listed() { b.listed = true }
+// SetListRead records that the store's list of VMs has been read: all neighbours are known.
+func (t *Book) Listed() { t.listRead = true }
 
-// keep looks at a group that this VM owns.
-func (b *Book) keep(now time.Time, g Seat, mine *Own, on claimant, leaving, relieved bool, peers []Peer) (Change, bool) {
+// review decides whether to give up or hand over a group that this VM owns.
+func (t *Book) review(now time.Time, g Seat, mine *Own, current claimant, leaving, handOver bool, peers []Peer) (Change, bool) {
 	switch {
-	case on.kept && on.above(mine.Fence, b.self) && !mine.Giving:
-		delete(b.own, g.Group)
-		return Change{Group: g.Group, Fence: on.fence, Lost: true, Why: "a VM has a higher fence"}, true
+	case current.owned && current.outranks(mine.Fence, t.self) && !mine.Giving:
+		delete(t.owned, g.Group)
+		return Change{Group: g.Group, Fence: current.fence, Lost: true, Why: "a VM has a higher fence"}, true
 	case mine.Giving:
 		return Change{}, false
 	case leaving:
 		mine.Giving = true
 		return Change{Group: g.Group, Fence: mine.Fence, Giving: true, Why: "this VM leaves"}, true
-	case relieved:
+	case handOver:
 		mine.Giving = true
-		return Change{Group: g.Group, Fence: mine.Fence, Giving: true, Why: "this VM's messages come late"}, true
-	case g.Domain != b.domain && home(now, g, peers):
+		return Change{Group: g.Group, Fence: mine.Fence, Giving: true, Why: "this VM's messages are late"}, true
+	case g.Domain != t.domain && domainRecovered(now, g, peers):
 		mine.Giving = true
 		return Change{Group: g.Group, Fence: mine.Fence, Giving: true, Why: "its own domain has a VM again"}, true
 	default:
@@ -252,51 +252,51 @@
 	}
 }
 
-// home reports whether a VM of the group's own domain has been there for a while.
-func home(now time.Time, g Seat, peers []Peer) bool {
+// domainRecovered reports whether a VM of the group's own domain has been up for handBackAfter.
+func domainRecovered(now time.Time, g Seat, peers []Peer) bool {
 	return slices.ContainsFunc(peers, func(p Peer) bool {
-		return p.Live && !p.Leaving && p.Domain == g.Domain && now.Sub(p.Since) >= patience
+		return p.Live && !p.Leaving && p.Domain == g.Domain && now.Sub(p.Since) >= handBackAfter
 	})
 }
 
-// Owned lists the groups that a VM which is heard owns and keeps.
+// Owned returns the groups that a VM which is heard owns and does not hand over.
 func Owned(peers []Peer) map[Group]bool {
 	heard := slices.DeleteFunc(slices.Clone(peers), func(p Peer) bool { return p.Silent })
 	claims, owned := map[Group]claimant{}, map[Group]bool{}
-	sum(claims, heard)
+	addClaims(claims, heard)
 	for g, c := range claims {
-		owned[g] = c.kept
+		owned[g] = c.owned
 	}
 	return owned
 }
 
-// Headed reports whether a VM of a failure domain is heard and stays: it will claim what
-// nobody owns there.
+// HasActiveVM reports whether a VM of a failure domain is heard and not leaving: it will claim the
+// unowned groups there.
 func Headed(domain string, peers []Peer) bool {
 	return slices.ContainsFunc(peers, func(p Peer) bool { return p.Domain == domain && p.Live && !p.Silent && !p.Leaving })
 }
 
-// claimant is who claims a group among the live peers.
+// claimant summarizes the claims of all live peers on one group.
 type claimant struct {
-	kept   bool           // one of them keeps it,
-	fence  uint64         // by the highest fence,
-	by     netip.AddrPort // which is this VM's
-	giving netip.AddrPort // one hands it over
+	owned    bool           // a peer owns it and does not hand it over
+	fence    uint64         // highest fence among those peers
+	owner    netip.AddrPort // the peer with that fence
+	handedBy netip.AddrPort // a peer that hands it over
 }
 
-// above reports whether a claim goes before another VM's with a fence. Of equal fences the higher
-// address goes first.
+// outranks reports whether this claim takes precedence over one with the given fence and VM. Of equal
+// fences the one with the higher address wins.
 //
-// What goes wrong without that: two VMs whose addresses share their low bits claim one group in the
-// same millisecond. Endpoints obey both, neither gives way, and each stops what the other starts. One
-// notices starts refused for want of room, and orphans, at the endpoints of one group.
-func (c claimant) above(fence uint64, vm netip.AddrPort) bool {
-	return c.fence > fence || (c.fence == fence && c.by.Compare(vm) > 0)
+// Otherwise two VMs whose addresses share the low hash bits can claim one group in the same millisecond, and
+// neither gives way. The endpoints obey both, and each VM stops what the other starts: starts are refused for
+// lack of room, and tasks are orphaned, at the endpoints of one group.
+func (c claimant) outranks(fence uint64, vm netip.AddrPort) bool {
+	return c.fence > fence || (c.fence == fence && c.owner.Compare(vm) > 0)
 }
 
-// sum adds up the claims of live peers; it is done once for all groups, since each has many and
-// there are many peers.
-func sum(all map[Group]claimant, peers []Peer) {
+// addClaims merges the claims of live peers into a map. It runs once for all groups, since there
+// are many peers with many claims each.
+func addClaims(claims map[Group]claimant, peers []Peer) {
 	for _, p := range peers {
 		for _, c := range p.Claims {
 			if !p.Live {
@@ -304,16 +304,16 @@
 			}
 			for set := c.Shards; set != 0; set &= set - 1 {
 				g := Group{c.Domain, uint8(bits.TrailingZeros64(set))}
-				x := all[g]
+				x := claims[g]
 				if c.Giving {
-					x.giving = p.VM
+					x.handedBy = p.VM
 				} else {
-					if x.above(c.Fence, p.VM) {
+					if x.outranks(c.Fence, p.VM) {
 						continue
 					}
-					x.kept, x.fence, x.by = true, c.Fence, p.VM
+					x.owned, x.fence, x.owner = true, c.Fence, p.VM
 				}
-				all[g] = x
+				claims[g] = x
 			}
 		}
 	}
--- a/internal/mesh/claim/claim_test.go
+++ b/internal/mesh/claim/claim_test.go
@@ -20,206 +20,199 @@
 	y  = Group{Domain: "y"}
 )
 
-func TestOwnDomainFirstOthersLater(t *testing.T) {
+func TestOwnDomainIsClaimedBeforeOthers(t *testing.T) {
 	is := is.New(t)
-	k := New(a, "x", 1, t0)
-	is.Equal(len(k.Decide(t0.Add(settle/2), false, gs, nil)), 0)
-	cs := k.Decide(t0.Add(settle), false, gs, nil)
+	table := New(a, "x", 1, t0)
+	is.Equal(len(table.Decide(t0.Add(settleOwn/2), false, gs, nil)), 0)
+	cs := table.Decide(t0.Add(settleOwn), false, gs, nil)
 	is.Equal(len(cs), 1)
 	is.Equal(cs[0].Group, x)
-	cs = k.Decide(t0.Add(settleFar), false, gs, nil)
-	is.Equal(len(cs), 1) // nobody else is there for y
+	cs = table.Decide(t0.Add(settleOther), false, gs, nil)
+	is.Equal(len(cs), 1) // no other VM is up for y
 	is.Equal(cs[0].Group, y)
-	is.True(cs[0].Fence > k.Owns(x).Fence)
+	is.True(cs[0].Fence > table.Owns(x).Fence)
 }
 
-// Symptom: after a loss of all VMs the jobs of a domain fail twice. Sequence: two of its
-// VMs start 130 ms apart; the first claims the endpoints, then the second. Cause: neither
-// waits for a neighbour that it knows of and hasn't heard.
-func TestClaimWaitsForAKnownNeighbour(t *testing.T) {
+// Guards against a VM that doesn't wait for a known neighbour it hasn't heard: after a loss of all VMs, two
+// VMs of a domain start 130 ms apart, both claim the endpoints, and the domain's jobs fail twice.
+func TestClaimWaitsForKnownNeighbour(t *testing.T) {
 	is := is.New(t)
-	k := New(a, "x", 1, t0)
+	table := New(a, "x", 1, t0)
 	peers := []Peer{{VM: b, Domain: "x", Listed: true}}
-	is.Equal(len(k.Decide(t0.Add(settle), false, gs[:1], peers)), 0)
-	is.Equal(len(k.Decide(t0.Add(settleAlone), false, gs[:1], peers)), 1) // it doesn't come
+	is.Equal(len(table.Decide(t0.Add(settleOwn), false, gs[:1], peers)), 0)
+	is.Equal(len(table.Decide(t0.Add(settleMissing), false, gs[:1], peers)), 1) // it didn't start
 }
 
-// Symptom: after a loss of all VMs nothing is served for 0.2 s longer than need be.
-// Sequence: all VMs of a domain start again and hear each other at once; then they wait.
-// Cause: they wait for owners that they may not know, though the store lists all VMs and
-// each of the domain was heard.
-func TestClaimWaitsNoLongerForWhomTheStoreLists(t *testing.T) {
+// Guards against an outage 0.2 s longer than necessary after a loss of all VMs: those of a domain hear each
+// other at once, but wait for unknown owners though the store lists all VMs and each of the domain was heard.
+func TestClaimIsFastWhenAllListedAreHeard(t *testing.T) {
 	is := is.New(t)
-	k := New(a, "x", 1, t0)
+	table := New(a, "x", 1, t0)
 	heard, silent := []Peer{{VM: b, Domain: "x", Live: true}}, []Peer{{VM: b, Domain: "x", Listed: true}}
 	all := make([]Seat, 0, 16)
-	for n := range uint8(16) { // of so many one is best placed here
+	for n := range uint8(16) { // of 16 units at least one belongs here
 		all = append(all, Seat{Group: Group{Domain: "x", Shard: n}, Unit: int(n)})
 	}
-	is.Equal(len(k.Decide(t0.Add(settleKnown), false, all, heard)), 0) // not read yet
-	k.Listed()
-	is.Equal(len(k.Decide(t0.Add(settleKnown), false, all, nil)), 0) // a neighbour may not be listed yet
-	is.Equal(len(k.Decide(t0.Add(settleKnown), false, all, silent)), 0)
-	is.Equal(len(k.Decide(t0.Add(settleKnown-1), false, all, heard)), 0)
-	is.True(len(k.Decide(t0.Add(settleKnown), false, all, heard)) > 0)
+	is.Equal(len(table.Decide(t0.Add(settleKnown), false, all, heard)), 0) // list not read yet
+	table.Listed()
+	is.Equal(len(table.Decide(t0.Add(settleKnown), false, all, nil)), 0) // a neighbour may not be listed yet
+	is.Equal(len(table.Decide(t0.Add(settleKnown), false, all, silent)), 0)
+	is.Equal(len(table.Decide(t0.Add(settleKnown-1), false, all, heard)), 0)
+	is.True(len(table.Decide(t0.Add(settleKnown), false, all, heard)) > 0)
 }
 
-// Symptom: after a loss of all VMs the first of a domain to start serves nobody for a second.
-// Sequence: its neighbour's machine gets power half a second later. Cause: it waits for a
-// neighbour that it knows of, though nothing answers at its address.
-func TestClaimWaitsForNoAbsentNeighbour(t *testing.T) {
+// Guards against a second without service after a loss of all VMs: the machine of a neighbour gets power half
+// a second later, and the first VM of the domain waits for it though nothing answers at its address.
+func TestClaimSkipsAbsentNeighbour(t *testing.T) {
 	is := is.New(t)
-	k := New(a, "x", 1, t0)
-	k.Listed()
+	table := New(a, "x", 1, t0)
+	table.Listed()
 	peers := []Peer{{VM: b, Domain: "x", Listed: true, Absent: true}}
-	is.Equal(len(k.Decide(t0.Add(settleKnown-1), false, gs[:1], peers)), 0)
-	is.Equal(len(k.Decide(t0.Add(settleKnown), false, gs[:1], peers)), 1)
+	is.Equal(len(table.Decide(t0.Add(settleKnown-1), false, gs[:1], peers)), 0)
+	is.Equal(len(table.Decide(t0.Add(settleKnown), false, gs[:1], peers)), 1)
 }
 
-// Symptom: a VM that was replaced as planned takes the endpoints from its neighbour, and
-// jobs fail. Sequence: its settings name the neighbour without a failure domain; 0.3 s
-// after its start it has not heard it. Cause: a VM of an unknown domain is no neighbour.
-func TestClaimWaitsForAVMOfUnknownDomain(t *testing.T) {
+// Guards against a replaced VM that takes the endpoints of its neighbour, so that jobs fail: its settings name
+// the neighbour without a failure domain, it has not heard it 0.3 s after its start, and doesn't count it as one.
+func TestClaimWaitsForVMOfUnknownDomain(t *testing.T) {
 	is := is.New(t)
-	k := New(a, "x", 1, t0)
-	is.Equal(len(k.Decide(t0.Add(settle), false, gs[:1], []Peer{{VM: b, Listed: true}})), 0)
+	table := New(a, "x", 1, t0)
+	is.Equal(len(table.Decide(t0.Add(settleOwn), false, gs[:1], []Peer{{VM: b, Listed: true}})), 0)
 }
 
-// Guards against a VM that is cut off when it starts and claims the endpoints of all others, or does so
-// when it hears the first of them.
-func TestVMThatHeardNobodyClaimsNothingFar(t *testing.T) {
+// Guards against a VM that is cut off at its start and claims the endpoints of all others, then or as soon as
+// it hears the first of them.
+func TestVMThatHeardNobodyClaimsNoOtherDomain(t *testing.T) {
 	is := is.New(t)
-	k := New(a, "x", 1, t0)
+	table := New(a, "x", 1, t0)
 	c := netip.MustParseAddrPort("10.0.0.3:1")
 	peers := []Peer{{VM: b, Domain: "y", Listed: true, Absent: true}, {VM: c, Domain: "z", Listed: true, Absent: true}}
-	far := []Seat{{Group: y}}
-	at := t0.Add(settleFar)
-	is.Equal(len(k.Decide(at, false, far, peers)), 0)
+	other := []Seat{{Group: y}}
+	at := t0.Add(settleOther)
+	is.Equal(len(table.Decide(at, false, other, peers)), 0)
 	peers[1] = Peer{VM: c, Domain: "z", Live: true}
-	is.Equal(len(k.Decide(at.Add(1), false, far, peers)), 0) // the owner may be heard next
+	is.Equal(len(table.Decide(at.Add(1), false, other, peers)), 0) // the owner may be heard next
 	alone := New(a, "x", 1, t0)
-	is.Equal(len(alone.Decide(at, false, far, peers[:1])), 1) // the only other one may well be lost
+	is.Equal(len(alone.Decide(at, false, other, peers[:1])), 1) // the only other VM may really be lost
 	for i := range peers {
 		peers[i] = Peer{VM: peers[i].VM, Domain: peers[i].Domain, Listed: true}
 	}
-	is.Equal(len(k.Decide(t0.Add(settleUnheard), false, far, peers)), 1)
+	is.Equal(len(table.Decide(t0.Add(settleUnheard), false, other, peers)), 1)
 }
 
-// Guards against a VM that comes back from a cut, hears one neighbour first, and claims what the others own.
-func TestVMThatWasIsolatedListensFirst(t *testing.T) {
+// Guards against a VM that reconnects, hears one neighbour first, and claims the groups of the others.
+func TestClaimWaitsAfterIsolation(t *testing.T) {
 	is := is.New(t)
-	k := New(a, "x", 1, t0)
+	table := New(a, "x", 1, t0)
 	at := t0.Add(time.Hour)
-	k.Isolate(true)
-	is.Equal(len(k.Decide(at, false, gs, nil)), 0)
-	k.Isolate(false)
-	is.Equal(len(k.Decide(at.Add(rejoin-1), false, gs, nil)), 0)
-	is.Equal(len(k.Decide(at.Add(rejoin), false, gs, nil)), 2)
+	table.Isolate(true)
+	is.Equal(len(table.Decide(at, false, gs, nil)), 0)
+	table.Isolate(false)
+	is.Equal(len(table.Decide(at.Add(rejoinDelay-1), false, gs, nil)), 0)
+	is.Equal(len(table.Decide(at.Add(rejoinDelay), false, gs, nil)), 2)
 }
 
-func TestExactlyOneOfTwoThatHearEachOtherClaims(t *testing.T) {
+func TestOneOfTwoConnectedVMsClaims(t *testing.T) {
 	is := is.New(t)
-	now := t0.Add(settleAlone)
-	ka, kb := New(a, "x", 1, t0), New(b, "x", 1, t0)
-	ca := ka.Decide(now, false, gs[:1], []Peer{{VM: b, Domain: "x", Live: true}})
-	cb := kb.Decide(now, false, gs[:1], []Peer{{VM: a, Domain: "x", Live: true}})
+	now := t0.Add(settleMissing)
+	tableA, tableB := New(a, "x", 1, t0), New(b, "x", 1, t0)
+	ca := tableA.Decide(now, false, gs[:1], []Peer{{VM: b, Domain: "x", Live: true}})
+	cb := tableB.Decide(now, false, gs[:1], []Peer{{VM: a, Domain: "x", Live: true}})
 	is.Equal(len(ca)+len(cb), 1)
 }
 
-// Symptom: two VMs order the same endpoint by turns. Sequence: both claimed it while they
-// didn't hear each other. Cause: neither gives way.
+// Guards against two VMs that both send orders to an endpoint: they claimed it while they didn't hear each
+// other, and neither gives way.
 func TestLowerFenceGivesWay(t *testing.T) {
 	is := is.New(t)
-	k := New(a, "x", 1, t0)
-	k.Decide(t0.Add(settle), false, gs[:1], nil)
-	mine := k.Owns(x).Fence
+	table := New(a, "x", 1, t0)
+	table.Decide(t0.Add(settleOwn), false, gs[:1], nil)
+	mine := table.Owns(x).Fence
 	rival := func(f uint64) []Peer {
 		return []Peer{{VM: b, Domain: "x", Live: true, Claims: []frame.Claim{{Domain: "x", Shards: 1, Fence: f}}}}
 	}
-	is.Equal(len(k.Decide(t0.Add(time.Second), false, gs[:1], rival(mine-1))), 0)
-	cs := k.Decide(t0.Add(time.Second), false, gs[:1], rival(mine+1))
+	is.Equal(len(table.Decide(t0.Add(time.Second), false, gs[:1], rival(mine-1))), 0)
+	cs := table.Decide(t0.Add(time.Second), false, gs[:1], rival(mine+1))
 	is.Equal(len(cs), 1)
 	is.True(cs[0].Lost)
-	is.True(k.Owns(x) == nil)
+	is.True(table.Owns(x) == nil)
 }
 
-// Symptom: thousands of starts are refused for want of room on a calm day, and what runs is stopped
-// as an orphan. Sequence: two VMs claim one group in the same millisecond, with fences whose low
-// bits, of their addresses' hashes, are alike. Cause: endpoints obey equal fences of both, and
-// neither VM gives way to one that is not higher.
+// Guards against two VMs that claim a group in the same millisecond with equal fences, as the low bits from
+// their address hashes are equal. The endpoints obey both, and neither gives way: under normal load,
+// thousands of starts are refused for lack of room, and running tasks are stopped as orphans.
 func TestOneOfTwoEqualFencesGivesWay(t *testing.T) {
 	is := is.New(t)
-	ka, kb := New(a, "x", 1, t0), New(b, "x", 1, t0)
-	ka.Decide(t0.Add(settle), false, gs[:1], nil)
-	kb.Decide(t0.Add(settle), false, gs[:1], nil)
-	kb.Owns(x).Fence = ka.Owns(x).Fence
-	tell := func(vm netip.AddrPort, k *Book) []Peer {
-		return []Peer{{VM: vm, Domain: "x", Live: true, Claims: []frame.Claim{{Domain: "x", Shards: 1, Fence: k.Owns(x).Fence}}}}
+	tableA, tableB := New(a, "x", 1, t0), New(b, "x", 1, t0)
+	tableA.Decide(t0.Add(settleOwn), false, gs[:1], nil)
+	tableB.Decide(t0.Add(settleOwn), false, gs[:1], nil)
+	tableB.Owns(x).Fence = tableA.Owns(x).Fence
+	peerWith := func(vm netip.AddrPort, table *Book) []Peer {
+		return []Peer{{VM: vm, Domain: "x", Live: true, Claims: []frame.Claim{{Domain: "x", Shards: 1, Fence: table.Owns(x).Fence}}}}
 	}
-	of, to := tell(a, ka), tell(b, kb)
-	ka.Decide(t0.Add(time.Second), false, gs[:1], to)
-	kb.Decide(t0.Add(time.Second), false, gs[:1], of)
-	is.True((ka.Owns(x) == nil) != (kb.Owns(x) == nil))
+	peerA, peerB := peerWith(a, tableA), peerWith(b, tableB)
+	tableA.Decide(t0.Add(time.Second), false, gs[:1], peerB)
+	tableB.Decide(t0.Add(time.Second), false, gs[:1], peerA)
+	is.True((tableA.Owns(x) == nil) != (tableB.Owns(x) == nil))
 }
 
-func TestLeavingAndForeignOwnersHandOver(t *testing.T) {
+func TestLeavingAndRemoteOwnersHandOver(t *testing.T) {
 	is := is.New(t)
-	k := New(a, "x", 1, t0)
-	k.Decide(t0.Add(settleFar), false, gs, nil)
+	table := New(a, "x", 1, t0)
+	table.Decide(t0.Add(settleOther), false, gs, nil)
 	home := []Peer{{VM: b, Domain: "y", Live: true, Since: t0}}
-	is.Equal(len(k.Decide(t0.Add(settleFar), false, gs, home)), 0) // it has just come
-	cs := k.Decide(t0.Add(patience), false, gs, home)
+	is.Equal(len(table.Decide(t0.Add(settleOther), false, gs, home)), 0) // it has just started
+	cs := table.Decide(t0.Add(handBackAfter), false, gs, home)
 	is.Equal(len(cs), 1)
 	is.True(cs[0].Giving && cs[0].Group == y)
-	cs = k.Decide(t0.Add(patience), true, gs, home)
+	cs = table.Decide(t0.Add(handBackAfter), true, gs, home)
 	is.Equal(len(cs), 1)
 	is.True(cs[0].Giving && cs[0].Group == x)
 }
 
 func TestFencesRiseOverClockSteps(t *testing.T) {
 	is := is.New(t)
-	k := New(a, "x", 1, t0)
-	f := k.Fence(t0.Add(time.Hour))
-	g := k.Fence(t0) // the time of day went back
+	table := New(a, "x", 1, t0)
+	f := table.NextFence(t0.Add(time.Hour))
+	g := table.NextFence(t0) // the wall clock was set back
 	is.True(g > f)
-	k.Raise(g)
-	is.True(k.Fence(t0) >= g+step)
-	is.True(New(a, "x", 1, t0).Fence(t0) != New(b, "x", 1, t0).Fence(t0))
+	table.Raise(g)
+	is.True(table.NextFence(t0) >= g+fenceStep)
+	is.True(New(a, "x", 1, t0).NextFence(t0) != New(b, "x", 1, t0).NextFence(t0))
 }
 
 func TestStrongVMsOwnMoreOften(t *testing.T) {
 	is := is.New(t)
-	k := New(a, "x", 0.2, t0)
+	table := New(a, "x", 0.2, t0)
 	strong := 0
 	for i := range 400 {
 		g := Seat{Group: x, Unit: i}
-		if k.best(t0, g, []Peer{{VM: b, Domain: "x", Live: true, Power: 0.8}}, netip.AddrPort{}) == b {
+		if table.best(t0, g, []Peer{{VM: b, Domain: "x", Live: true, Power: 0.8}}, netip.AddrPort{}) == b {
 			strong++
 		}
 	}
-	is.True(strong > 350) // sixteen to one
+	is.True(strong > 350) // expected 16:1, the square of 0.8/0.2
 }
 
-// Symptom: two VMs order the endpoints of a lost domain by turns for as long as it is lost.
-// Sequence: each claims them, the other's orders are refused, it claims them again. Cause:
-// in a large deployment they keep no link and never hear of each other's claim.
-func TestGroupOfAnUnheardRivalIsLeftAlone(t *testing.T) {
+// Guards against two VMs that keep taking the endpoints of a lost domain from each other: in a large deployment
+// they have no link and don't know of each other's claim, so each claims again after its orders were refused.
+func TestBackoffForUnheardOwner(t *testing.T) {
 	is := is.New(t)
-	k := New(a, "x", 1, t0)
-	now := t0.Add(settleFar)
-	is.Equal(len(k.Decide(now, false, gs[1:], nil)), 1)
-	wait := k.Shun(now, y)
-	is.Equal(wait, restLeast)
-	is.Equal(len(k.Decide(now.Add(wait-1), false, gs[1:], nil)), 0)
-	is.Equal(len(k.Decide(now.Add(wait), false, gs[1:], nil)), 1)
-	is.Equal(k.Shun(now, y), 2*restLeast)
+	table := New(a, "x", 1, t0)
+	now := t0.Add(settleOther)
+	is.Equal(len(table.Decide(now, false, gs[1:], nil)), 1)
+	wait := table.Shun(now, y)
+	is.Equal(wait, minBackoff)
+	is.Equal(len(table.Decide(now.Add(wait-1), false, gs[1:], nil)), 0)
+	is.Equal(len(table.Decide(now.Add(wait), false, gs[1:], nil)), 1)
+	is.Equal(table.Shun(now, y), 2*minBackoff)
 }
 
 func TestClaimsOfOneRoundShareAFence(t *testing.T) {
 	is := is.New(t)
-	k := New(a, "x", 1, t0)
+	table := New(a, "x", 1, t0)
 	many := []Seat{{Group: Group{"x", 0}}, {Group: Group{"x", 1}, Unit: 1}, {Group: Group{"x", 31}, Unit: 3}}
-	cs := k.Decide(t0.Add(settle), false, many, nil)
+	cs := table.Decide(t0.Add(settleOwn), false, many, nil)
 	is.Equal(len(cs), 3)
 	is.Equal(cs[0].Fence, cs[2].Fence)
 	peers := []Peer{{VM: a, Domain: "x", Live: true, Claims: []frame.Claim{{Domain: "x", Shards: 1<<0 | 1<<31, Fence: 7}}}}
@@ -227,53 +220,53 @@
 	is.True(Headed("x", peers) && !Headed("y", peers))
 }
 
-// Symptom: one VM owns all endpoints of its domain, and its neighbours idle. Sequence: the
-// others start or restart after it. Cause: an owner keeps what it has while it lives.
+// Guards against one VM that owns all endpoints of its domain while its neighbours are idle: they started or
+// restarted after it, and an owner would keep its groups as long as it lives.
 func TestUnitMovesToAnIdleNeighbour(t *testing.T) {
 	is := is.New(t)
-	k := New(a, "x", 1, t0)
+	table := New(a, "x", 1, t0)
 	var many []Seat
 	for i := range 16 {
 		many = append(many, Seat{Group: Group{"x", uint8(i)}, Unit: i / 2})
 	}
-	is.Equal(len(k.Decide(t0.Add(settleAlone), false, many, nil)), 16)
-	came := t0.Add(2 * time.Second)
-	idle := []Peer{{VM: b, Domain: "x", Live: true, Since: came}}
-	is.Equal(len(k.Decide(came.Add(calm-1), false, many, idle)), 0) // it has just come
-	cs := k.Decide(came.Add(calm), false, many, idle)
+	is.Equal(len(table.Decide(t0.Add(settleMissing), false, many, nil)), 16)
+	started := t0.Add(2 * time.Second)
+	idle := []Peer{{VM: b, Domain: "x", Live: true, Since: started}}
+	is.Equal(len(table.Decide(started.Add(stableAfter-1), false, many, idle)), 0) // it has just started
+	cs := table.Decide(started.Add(stableAfter), false, many, idle)
 	is.Equal(len(cs), 2) // both groups of one unit
 	is.True(cs[0].Giving && cs[1].Giving)
-	is.Equal(k.best(came.Add(calm), many[cs[0].Group.Shard], idle, netip.AddrPort{}), b)
-	is.Equal(len(k.Decide(came.Add(calm), false, many, idle)), 0) // one at a time
+	is.Equal(table.best(started.Add(stableAfter), many[cs[0].Group.Shard], idle, netip.AddrPort{}), b)
+	is.Equal(len(table.Decide(started.Add(stableAfter), false, many, idle)), 0) // one at a time
 	for _, c := range cs {
-		k.Drop(c.Group)
+		table.Drop(c.Group)
 	}
-	busy := []Peer{{VM: b, Domain: "x", Live: true, Since: came, Claims: []frame.Claim{{Domain: "x", Shards: 1 << cs[0].Group.Shard, Fence: 9e18}}}}
-	is.Equal(len(k.Decide(came.Add(calm), false, many[:cs[0].Group.Shard], busy)), 0)
+	busy := []Peer{{VM: b, Domain: "x", Live: true, Since: started, Claims: []frame.Claim{{Domain: "x", Shards: 1 << cs[0].Group.Shard, Fence: 9e18}}}}
+	is.Equal(len(table.Decide(started.Add(stableAfter), false, many[:cs[0].Group.Shard], busy)), 0)
 }
 
-// Guards against an owner that keeps its endpoints, or takes others over, while its messages come late.
+// Guards against an owner that keeps its endpoints, or claims others, while its messages are late.
 func TestStrainedVMsHandOver(t *testing.T) {
 	is := is.New(t)
-	k := New(a, "x", 1, t0)
-	k.Decide(t0.Add(settle), false, gs[:1], nil)
-	is.True(k.Owns(x) != nil)
-	k.Strain(true)
+	table := New(a, "x", 1, t0)
+	table.Decide(t0.Add(settleOwn), false, gs[:1], nil)
+	is.True(table.Owns(x) != nil)
+	table.Strain(true)
 	now := t0.Add(time.Minute)
-	is.Equal(len(k.Decide(now, false, gs[:1], nil)), 0) // nobody else would have them
-	is.Equal(len(k.Decide(now, false, gs[:1], []Peer{{VM: b, Domain: "x", Live: true, Since: t0, Strained: true}})), 0)
+	is.Equal(len(table.Decide(now, false, gs[:1], nil)), 0) // no other VM can take them
+	is.Equal(len(table.Decide(now, false, gs[:1], []Peer{{VM: b, Domain: "x", Live: true, Since: t0, Strained: true}})), 0)
 	neighbour := []Peer{{VM: b, Domain: "x", Live: true, Since: t0}}
-	cs := k.Decide(now, false, gs[:1], neighbour)
+	cs := table.Decide(now, false, gs[:1], neighbour)
 	is.Equal(len(cs), 1)
 	is.True(cs[0].Giving)
-	k.Drop(x)
+	table.Drop(x)
 	for unit := range 100 {
-		is.Equal(k.best(now, Seat{Group: x, Unit: unit}, neighbour, netip.AddrPort{}), b)
+		is.Equal(table.best(now, Seat{Group: x, Unit: unit}, neighbour, netip.AddrPort{}), b)
 	}
 }
 
-// Guards against VMs that keep no link to each other and claim the same group of a lost domain.
-func TestVMsOfOneDomainOwnALostUnit(t *testing.T) {
+// Guards against VMs without a link to each other that claim the same group of a lost domain.
+func TestLostUnitGetsOneOwner(t *testing.T) {
 	is := is.New(t)
 	const domains, each = 4, 24
 	at := func(d, n int) netip.AddrPort {
@@ -285,8 +278,8 @@
 		g, owners := Seat{Group: Group{Domain: "lost"}, Unit: unit}, map[netip.AddrPort]bool{}
 		for d := range domains {
 			for n := range each {
-				k := New(at(d, n), name(d), 1, t0)
-				var peers []Peer // its neighbours and a third of the others
+				table := New(at(d, n), name(d), 1, t0)
+				var peers []Peer // its neighbours, and of each other domain the first VM and a third of the rest
 				for e := range domains {
 					for m := range each {
 						if (e == d && m != n) || (e != d && (m == 0 || r.IntN(3) == 0)) {
@@ -294,8 +287,8 @@
 						}
 					}
 				}
-				if k.best(t0, g, peers, netip.AddrPort{}) == k.self {
-					owners[k.self] = true
+				if table.best(t0, g, peers, netip.AddrPort{}) == table.self {
+					owners[table.self] = true
 				}
 			}
 		}
@@ -303,54 +296,54 @@
 	}
 }
 
-// Guards against a VM that claims endpoints of a neighbour which it can't hear and which lives.
-func TestVMDefersToAnOwnerThatItCannotHear(t *testing.T) {
+// Guards against a VM that claims endpoints of a neighbour that is up but can't be heard.
+func TestVMDefersToUnheardOwner(t *testing.T) {
 	is := is.New(t)
-	k := New(a, "x", 1, t0)
+	table := New(a, "x", 1, t0)
 	peers := []Peer{{VM: b, Domain: "x", Listed: true}}
-	k.Defer(true)
+	table.Defer(true)
 	at := t0.Add(time.Hour)
-	is.Equal(len(k.Decide(at, false, gs[:1], peers)), 0)
-	k.Defer(false) // the path has healed, and the owner's first heartbeat is on its way
-	is.Equal(len(k.Decide(at.Add(rejoin-1), false, gs[:1], peers)), 0)
-	is.Equal(len(k.Decide(at.Add(rejoin), false, gs[:1], peers)), 1)
+	is.Equal(len(table.Decide(at, false, gs[:1], peers)), 0)
+	table.Defer(false) // the path has recovered, and the owner's first heartbeat is in flight
+	is.Equal(len(table.Decide(at.Add(rejoinDelay-1), false, gs[:1], peers)), 0)
+	is.Equal(len(table.Decide(at.Add(rejoinDelay), false, gs[:1], peers)), 1)
 }
 
-// Guards against a VM that is the last of its failure domain and claims nothing there, since it seems to be isolated.
-func TestIsolatedVMSucceedsNeighboursThatAreSurelyLost(t *testing.T) {
+// Guards against the last VM of a failure domain that claims nothing there because it seems isolated.
+func TestIsolatedVMReplacesLostNeighbours(t *testing.T) {
 	is := is.New(t)
-	k := New(a, "x", 1, t0)
-	k.Isolate(true)
+	table := New(a, "x", 1, t0)
+	table.Isolate(true)
 	at := t0.Add(time.Hour)
-	is.Equal(len(k.Decide(at, false, gs, nil)), 0)
-	k.Succeed(true)
-	cs := k.Decide(at.Add(time.Millisecond), false, gs, nil)
+	is.Equal(len(table.Decide(at, false, gs, nil)), 0)
+	table.Succeed(true)
+	cs := table.Decide(at.Add(time.Millisecond), false, gs, nil)
 	is.Equal(len(cs), 1)
-	is.Equal(cs[0].Group, x) // and nothing of other domains, whose VMs were not asked
+	is.Equal(cs[0].Group, x) // nothing of other domains, whose VMs were not probed
 }
 
-// Guards against the last VM of all that claims nothing of other failure domains, since it seems to be isolated or
-// listens for VMs that were never heard.
-func TestLastVMSucceedsAll(t *testing.T) {
+// Guards against the last VM of all that claims nothing of other failure domains because it seems isolated or
+// waits for VMs that were never heard.
+func TestLastVMClaimsAll(t *testing.T) {
 	is := is.New(t)
-	k := New(a, "x", 1, t0)
-	k.Isolate(true)
-	k.SucceedAll(true)
-	at, peers := t0.Add(settleFar), []Peer{{VM: b, Domain: "y", Listed: true}}
-	is.Equal(len(k.Decide(at.Add(-1), false, gs, peers)), 1) // of its own domain
-	is.Equal(len(k.Decide(at, false, gs, peers)), 1)
+	table := New(a, "x", 1, t0)
+	table.Isolate(true)
+	table.SucceedAll(true)
+	at, peers := t0.Add(settleOther), []Peer{{VM: b, Domain: "y", Listed: true}}
+	is.Equal(len(table.Decide(at.Add(-1), false, gs, peers)), 1) // of its own domain
+	is.Equal(len(table.Decide(at, false, gs, peers)), 1)
 }
 
-// Guards against a VM that is cut off for long and claims the endpoints of other failure domains in the end.
-func TestVMThatIsCutOffClaimsNothingFar(t *testing.T) {
+// Guards against a VM that is cut off for long and finally claims the endpoints of other failure domains.
+func TestCutOffVMClaimsOnlyItsDomain(t *testing.T) {
 	is := is.New(t)
-	k := New(a, "x", 1, t0)
-	k.CutOff(true)
+	table := New(a, "x", 1, t0)
+	table.CutOff(true)
 	at := t0.Add(time.Hour)
-	cs := k.Decide(at, false, gs, nil)
+	cs := table.Decide(at, false, gs, nil)
 	is.Equal(len(cs), 1)
-	is.Equal(cs[0].Group, x) // its neighbour owns nothing
-	k.CutOff(false)
-	is.Equal(len(k.Decide(at.Add(rejoin-1), false, gs, nil)), 0)
-	is.Equal(len(k.Decide(at.Add(rejoin), false, gs, nil)), 1)
+	is.Equal(cs[0].Group, x) // no neighbour owns it
+	table.CutOff(false)
+	is.Equal(len(table.Decide(at.Add(rejoinDelay-1), false, gs, nil)), 0)
+	is.Equal(len(table.Decide(at.Add(rejoinDelay), false, gs, nil)), 1)
 }
--- a/internal/mesh/claim/settle.go
+++ b/internal/mesh/claim/settle.go
@@ -6,114 +6,114 @@
 )
 
 const (
-	// settle is how long a VM watches before it claims a group of its own failure
-	// domain, settleFar before one of another: a VM that just started would else take
-	// endpoints from owners that it has not heard yet. Neighbours are heard within
-	// 200 ms, but after a loss of all VMs they start up to a second apart. Until the
-	// first claim every job waits or is refused.
-	settle = 300 * time.Millisecond
-	// settleKnown applies when every VM that the store lists for the own domain was heard, or
-	// is not there: the claims of those that are came with their first heartbeats, and they
-	// hear this one.
+	// settleOwn is how long a VM listens after its start before it claims a group of its own failure domain,
+	// settleOther before one of another domain. Without it a VM that just started would take endpoints from owners
+	// that it has not heard yet. Neighbours are heard within 200 ms, but after a loss of all VMs they start up to
+	// a second apart. Until the first claim every job waits or is refused.
+	settleOwn = 300 * time.Millisecond
+	// settleKnown applies when every VM that the store lists for this domain was heard or is down. The claims
+	// of those that are up came with their first heartbeats, and they receive this VM's.
 	settleKnown = 50 * time.Millisecond
-	// settleAlone applies while a VM of the own domain that is known has not been heard,
-	// settleFar to groups of other domains.
-	settleAlone = time.Second
-	settleFar   = 1500 * time.Millisecond
-	// settleUnheard applies to groups of other domains while no VM has been heard at all, though
-	// several are listed: more likely this VM is cut off than all others are lost for good.
+	// settleMissing applies while a known VM of this domain has not been heard,
+	// settleOther to groups of other domains.
+	settleMissing = time.Second
+	settleOther   = 1500 * time.Millisecond
+	// settleUnheard applies to groups of other domains while several VMs are listed and none has been heard:
+	// it is more likely that this VM is cut off than that all others are permanently lost.
 	settleUnheard = 10 * time.Second
-	// rejoin is how long a VM that was cut off, or deferred to one that it could not hear, listens before it
-	// claims again: the others are heard one by one, up to a heartbeat between failure domains and its way apart.
-	rejoin = 500 * time.Millisecond
+	// rejoinDelay is how long a VM that was cut off, or deferred to one it could not hear, listens before it
+	// claims again: the first heartbeats of the others arrive up to one cross-domain period plus network delay apart.
+	rejoinDelay = 500 * time.Millisecond
 )
 
-// settled reports whether this VM has watched long enough to claim a group. A VM whose
-// domain is not known may be a neighbour.
-func (b *Book) settled(now time.Time, g Seat, peers []Peer) bool {
-	age := now.Sub(b.began)
-	if now.Sub(b.alone) < rejoin && !b.heirOf(g.Group) {
+// settled reports whether this VM has listened long enough to claim a group. A peer whose domain
+// is unknown may be a neighbour.
+func (t *Book) settled(now time.Time, g Seat, peers []Peer) bool {
+	age := now.Sub(t.began)
+	if now.Sub(t.lastIsolated) < rejoinDelay && !t.ownerLost(g.Group) {
 		return false
 	}
-	if g.Domain != b.domain {
+	if g.Domain != t.domain {
 		switch {
-		case b.last:
-			return age >= settleFar
-		case b.unheard.Equal(now): // still
+		case t.allLost:
+			return age >= settleOther
+		case t.lastUnheard.Equal(now): // no VM heard yet
 			return age >= settleUnheard
 		default:
-			return age >= settleFar && now.Sub(b.unheard) >= rejoin
+			return age >= settleOther && now.Sub(t.lastUnheard) >= rejoinDelay
 		}
 	}
-	near := func(p Peer) bool { return p.Domain == b.domain }
-	silent := slices.ContainsFunc(peers, func(p Peer) bool { return p.Listed && !p.Absent && (near(p) || p.Domain == "") })
+	neighbour := func(p Peer) bool { return p.Domain == t.domain }
+	missing := slices.ContainsFunc(peers, func(p Peer) bool { return p.Listed && !p.Absent && (neighbour(p) || p.Domain == "") })
 	switch {
-	case silent:
-		return age >= settleAlone
-	case b.listed && slices.ContainsFunc(peers, near): // neighbours that start for the first time aren't listed yet
+	case missing:
+		return age >= settleMissing
+	case t.listRead && slices.ContainsFunc(peers, neighbour): // neighbours on their first start aren't listed yet
 		return age >= settleKnown
 	default:
-		return age >= settle
+		return age >= settleOwn
 	}
 }
 
-// listen notes whether others are heard.
+// recordSilence updates the times at which this VM was last isolated, deferring, cut off or had heard nobody.
 //
-// What goes wrong without it: a VM starts, or comes back from a cut, and hears one neighbour first. It claims
-// the endpoints of all whose heartbeats are on their way. One notices "group" lines of one VM for every group.
-func (b *Book) listen(now time.Time, peers []Peer) {
-	if b.isolated {
-		b.alone = now
+// Without it a VM that starts or reconnects, and hears one neighbour first, claims the endpoints of all others
+// whose heartbeats are still in flight: it logs a "group" line for every group.
+func (t *Book) recordSilence(now time.Time, peers []Peer) {
+	if t.isolated {
+		t.lastIsolated = now
 	}
-	if b.defers {
-		b.deferred = now
+	if t.deferring {
+		t.lastDeferring = now
 	}
-	if b.cutOff {
-		b.cut = now
+	if t.cutOff {
+		t.lastCutOff = now
 	}
 	if len(peers) > 1 && !slices.ContainsFunc(peers, func(p Peer) bool { return !p.Listed }) {
-		b.unheard = now
+		t.lastUnheard = now
 	}
 }
 
-// Strain tells the book whether this VM's messages reach the others late. Its groups go to
-// neighbours then whose don't, and it takes none over while there are such.
-func (b *Book) Strain(on bool) { b.strained = on }
+// SetStrained sets whether this VM's messages reach the others late. If so, its groups go to
+// neighbours that aren't strained, and it claims none while there are such.
+func (t *Book) Strain(on bool) { t.strained = on }
 
-// Isolate tells the book whether this VM seems to be cut off from all others. It keeps what it owns then and
-// claims nothing: silence does not show that an owner is lost.
-func (b *Book) Isolate(on bool) { b.isolated = on }
+// SetIsolated sets whether this VM seems to be cut off from all others. If so, it keeps its groups and
+// claims none: silence does not prove that an owner is lost.
+func (t *Book) Isolate(on bool) { t.isolated = on }
 
-// Defer tells the book whether a VM of the own failure domain that this one can't hear owns endpoints there. This
-// one claims none of them then.
-func (b *Book) Defer(on bool) { b.defers = on }
+// SetDeferring sets whether a VM of this failure domain that can't be heard owns endpoints there. If so,
+// this VM claims none of them.
+func (t *Book) Defer(on bool) { t.deferring = on }
 
-// Defers reports what Defer was told last.
-func (b *Book) Defers() bool { return b.defers }
+// Deferring returns the value of the last SetDeferring.
+func (t *Book) Defers() bool { return t.deferring }
 
-// CutOff tells the book whether this VM hears nobody though others surely live. It claims nothing of other failure
-// domains then, however long it lasts.
-func (b *Book) CutOff(on bool) { b.cutOff = on }
+// SetCutOff sets whether this VM hears nobody though others are known to be up. If so, it claims nothing
+// in other failure domains, however long that lasts.
+func (t *Book) CutOff(on bool) { t.cutOff = on }
 
-// Succeed tells the book whether the VMs of the own failure domain that are not heard are surely not there. Then
-// their endpoints are claimed also by a VM that seems to be isolated.
-func (b *Book) Succeed(on bool) { b.heir = on }
+// SetNeighboursLost sets whether all unheard VMs of this failure domain are known to be down. If so,
+// their endpoints are claimed even by a VM that seems isolated.
+func (t *Book) Succeed(on bool) { t.neighboursLost = on }
 
-// SucceedAll tells the book whether surely no other VM is there at all. Then everything is claimed also by a VM that
-// seems to be isolated.
-func (b *Book) SucceedAll(on bool) { b.last = on }
+// SetAllLost sets whether all other VMs are known to be down. If so, everything is claimed even by a VM
+// that seems isolated.
+func (t *Book) SucceedAll(on bool) { t.allLost = on }
 
-// heirOf reports whether the silence of those who may own a group surely means that they are lost.
-func (b *Book) heirOf(g Group) bool { return b.last || (b.heir && g.Domain == b.domain) }
+// ownerLost reports whether all VMs that may own a group are known to be down.
+func (t *Book) ownerLost(g Group) bool {
+	return t.allLost || (t.neighboursLost && g.Domain == t.domain)
+}
 
-// mayClaim reports whether silence may count as the loss of a group's owner. One that answered through the store
-// is heard some time after the path to it has healed.
-func (b *Book) mayClaim(now time.Time, g Group) bool {
-	if b.isolated && !b.heirOf(g) {
+// mayClaim reports whether silence may be taken as the loss of a group's owner. An owner that answered
+// through the store is heard again only some time after the path to it has recovered.
+func (t *Book) mayClaim(now time.Time, g Group) bool {
+	if t.isolated && !t.ownerLost(g) {
 		return false
 	}
-	if g.Domain == b.domain {
-		return now.Sub(b.deferred) >= rejoin
+	if g.Domain == t.domain {
+		return now.Sub(t.lastDeferring) >= rejoinDelay
 	}
-	return now.Sub(b.cut) >= rejoin
+	return now.Sub(t.lastCutOff) >= rejoinDelay
 }
