--- a/internal/mesh/view/clock_test.go
+++ b/internal/mesh/view/clock_test.go
@@ -11,11 +11,11 @@
 	"dahliawinch/internal/mesh/frame"
 )
 
-// rounding is what the test's own clocks lose to whole nanoseconds.
+// rounding allows for the test's clocks, which are rounded to nanoseconds.
 const rounding = time.Microsecond
 
-// Guards against a keepalive that counts as newer than it is: a time is never told later than it was by the other's clock.
-func TestTheirClockIsNeverAheadOfTheTruth(t *testing.T) {
+// Guards against a keepalive that counts as newer than it is: ClockAt must never be ahead of the member's real clock.
+func TestClockEstimateIsNeverAhead(t *testing.T) {
 	vm := netip.MustParseAddrPort("10.0.0.2:1")
 	rapid.Check(t, func(t *rapid.T) {
 		ours := time.Unix(1_700_000_000, 0)
@@ -33,22 +33,22 @@
 			if rapid.IntRange(0, 4).Draw(t, "resume") == 0 {
 				v.Resume(ours)
 			}
-			if told := v.Find(vm).Theirs(ours); told.After(theirs.Add(rounding)) {
-				t.Fatalf("%s ahead", told.Sub(theirs))
+			if estimate := v.Find(vm).Theirs(ours); estimate.After(theirs.Add(rounding)) {
+				t.Fatalf("%s ahead", estimate.Sub(theirs))
 			}
 		}
 	})
 }
 
-// Guards against a keepalive that counts as newer than it is since this VM was paused: clocks drift meanwhile, though the
-// silence is forgiven.
+// Guards against a keepalive that counts as newer than it is after a pause of this VM: clocks drift during the pause,
+// though Resume resets the silence.
 func TestPauseDoesNotHideDriftOfClocks(t *testing.T) {
 	is := is.New(t)
 	vm, t0 := netip.MustParseAddrPort("127.0.0.2:1"), time.Unix(1_700_000_000, 0)
 	const pause = time.Minute
 	v := New(netip.MustParseAddrPort("127.0.0.1:1"), "a", t0)
 	v.Hear(t0, frame.Hello{VM: vm, Inc: 1, Domain: "a"}, &frame.Beat{At: t0})
-	ours, theirs := t0.Add(pause), t0.Add(pause-drifts(pause)*9/10)
+	ours, theirs := t0.Add(pause), t0.Add(pause-maxDrift(pause)*9/10)
 	v.Resume(ours)
 	is.True(!v.Find(vm).Theirs(ours).After(theirs))
 	v.Hear(ours, frame.Hello{VM: vm, Inc: 1, Domain: "a"}, &frame.Beat{At: theirs})
--- a/internal/mesh/view/links.go
+++ b/internal/mesh/view/links.go
@@ -8,52 +8,52 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Links sets how many VMs of other failure domains links are kept to.
+// SetRemoteLinks sets how many VMs of other failure domains this VM keeps links to.
 func (v *View) Links(n int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.links = n
-	v.pick()
+	v.remoteLinks = n
+	v.pickLinks()
 }
 
-// pick chooses the links: all VMs of the own failure domain, and a few of the others
-// by rendezvous hashing. Links to all others would cost messages that grow with the
-// number of VMs; news travels over the few in some hops. The caller holds the lock.
-func (v *View) pick() {
+// pickLinks chooses the links: all VMs of this failure domain, and a few of the others by rendezvous hashing.
+// With links to all, messages would grow with the number of VMs; over a few, news takes some hops.
+// The caller holds the lock.
+func (v *View) pickLinks() {
 	type ranked struct {
 		vm netip.AddrPort
 		w  uint64
 	}
-	var far []ranked
-	for vm, m := range v.all {
+	var remote []ranked
+	for vm, m := range v.members {
 		if m.Domain != v.domain {
-			far = append(far, ranked{vm, rank(v.self, vm)})
+			remote = append(remote, ranked{vm, rank(v.self, vm)})
 		}
 	}
-	slices.SortFunc(far, func(a, b ranked) int { return cmp.Compare(b.w, a.w) })
+	slices.SortFunc(remote, func(a, b ranked) int { return cmp.Compare(b.w, a.w) })
 	picked := map[netip.AddrPort]bool{}
-	for _, f := range far[:min(len(far), v.farLinks(len(v.all)-len(far)))] {
+	for _, f := range remote[:min(len(remote), v.remoteLinkCount(len(v.members)-len(remote)))] {
 		picked[f.vm] = true
 	}
-	for vm, m := range v.all {
-		if want := m.Domain == v.domain || picked[vm]; want != m.Picked {
+	for vm, m := range v.members {
+		if pick := m.Domain == v.domain || picked[vm]; pick != m.Picked {
 			c := *m
-			c.Picked = want
-			v.all[vm] = &c
+			c.Picked = pick
+			v.members[vm] = &c
 		}
 	}
 }
 
-// farLinks is how many links to other failure domains a VM keeps that has so many neighbours.
+// remoteLinkCount returns how many links to other failure domains a VM with so many neighbours keeps.
 //
-// What goes wrong with one figure for all sizes: heartbeats over links to 74 neighbours and 32 VMs
-// of other domains, and as many again that chose this one, are most of what 300 VMs do. One notices
-// processor time that grows faster than the fleet. With 32 neighbours or fewer nothing changes.
-func (v *View) farLinks(neighbours int) int {
-	return min(v.links, max(leastFar, mostLinks-neighbours))
+// A fixed number does not scale: with 300 VMs, heartbeats to 74 neighbours, to 32 VMs of other domains and to
+// as many that chose this one are most of the work, and CPU time grows faster than the number of VMs. With 32
+// neighbours or fewer the full number is kept.
+func (v *View) remoteLinkCount(neighbours int) int {
+	return min(v.remoteLinks, max(minRemoteLinks, maxLinks-neighbours))
 }
 
-// rank is the same for both VMs of a pair, so that they mostly pick each other.
+// rank returns the same value on both VMs of a pair, so that they mostly pick each other.
 func rank(a, b netip.AddrPort) uint64 {
 	if b.Compare(a) < 0 {
 		a, b = b, a
@@ -61,9 +61,8 @@
 	return xxhash.Sum64String(a.String() + "|" + b.String())
 }
 
-// Speaks reports whether heartbeats go to a member: to those picked, and to those
-// that picked this VM and are heard. One that leaves still needs them: it has jobs with
-// owners, and would take their silence for a loss.
+// GetsBeats reports whether a member is sent heartbeats: if this VM picked it, or it picked this VM and is
+// heard. A leaving member still needs them: it has jobs with owners, and would take their silence for a loss.
 func (m *Member) Speaks() bool {
 	return m.Picked || m.State == Alive || m.State == Suspect || m.State == Left
 }
--- a/internal/mesh/view/member.go
+++ b/internal/mesh/view/member.go
@@ -1,5 +1,5 @@
-// Package view is what one entry VM believes of the others: who is there, of
-// which incarnation, and how busy.
+// Package view tracks what this entry VM knows of the others: which are up, in which incarnation,
+// and how busy they are.
 package view
 
 import (
@@ -12,59 +12,61 @@
 // State of a member.
 type State uint8
 
-// The states.
+// The states of a member.
 const (
-	Listed  State = iota // in settings or the list, never heard from
-	Alive                // heard from lately
-	Suspect              // silent, not confirmed by a witness yet
-	Gone                 // silent, and a witness agrees
-	Left                 // said that it leaves
+	Listed  State = iota // in the settings or the store's list, never heard
+	Alive                // heard recently
+	Suspect              // silent, not yet confirmed by another VM
+	Gone                 // silent, confirmed by another VM or for long enough
+	Left                 // announced that it leaves
 )
 
 var stateNames = [...]string{"listed", "alive", "suspect", "gone", "left"}
 
 func (s State) String() string { return stateNames[s] }
 
-// Member is one other entry VM. Values are copied out; they never change later.
+// Member describes one other entry VM. It is immutable.
 type Member struct {
 	VM     netip.AddrPort
 	Domain string
 	Inc    uint64
 	State  State
-	Picked bool // this VM keeps a link to it even before it speaks
+	Picked bool // this VM keeps a link to it, also before it is heard
 	Heard  time.Time
 	Beat   frame.Beat
-	Late   time.Duration // how much later than the fastest the last heartbeat came
-	Skew   time.Duration // least seen difference of this clock minus the member's
+	Late   time.Duration // delay of the last heartbeat compared to the fastest
+	Skew   time.Duration // smallest difference seen of this clock minus the member's
 }
 
-// Usable reports whether work may be given to the member.
+// Usable reports whether work may be sent to the member.
 func (m *Member) Usable() bool { return m.State == Alive }
 
-// Age is how long ago the member stamped something, by the least skew seen.
+// Age returns how old one of the member's timestamps is, by the smallest skew seen.
 //
-// Clocks differ, so a stamp alone says little; the fastest beat shows how far
-// the clocks are apart at most, and what is beyond that is delay.
+// Clocks differ, so a timestamp alone is not enough. The fastest heartbeat bounds the clock difference; what
+// exceeds it is delay.
 func (m *Member) Age(now, stamp time.Time) time.Duration { return now.Sub(stamp) - m.Skew }
 
-// Theirs is what the member's clock showed at a time of this VM's, at the earliest.
+// ClockAt returns a lower bound of the member's clock at a time of this VM's clock.
 //
-// A heartbeat that was read when this clock was ahead of its stamp by Skew had been sent before, so Skew is at
-// least what the two clocks are apart. Clocks that drift are allowed for.
+// A heartbeat was sent before it was read, so Skew is at least the difference of the two clocks. Possible
+// drift since then is subtracted.
 func (m *Member) Theirs(now time.Time) time.Time {
-	return now.Add(-m.Skew - drifts(now.Sub(m.Heard)))
+	return now.Add(-m.Skew - maxDrift(now.Sub(m.Heard)))
 }
 
-// drifts is how far two clocks drift apart at most in a time.
-func drifts(d time.Duration) time.Duration { return time.Duration(d.Seconds() * float64(skewDrift)) }
+// maxDrift returns how far two clocks drift apart at most in a duration.
+func maxDrift(d time.Duration) time.Duration {
+	return time.Duration(d.Seconds() * float64(clockDrift))
+}
 
-// keeps reports whether the member counts as a home of slots.
-func (m *Member) keeps(now time.Time) bool {
+// holdsSlots reports whether the member counts as a holder of slots.
+func (m *Member) holdsSlots(now time.Time) bool {
 	switch m.State {
 	case Alive, Suspect:
 		return true
 	case Listed:
-		return now.Sub(m.Heard) < aloneAfter
+		return now.Sub(m.Heard) < goneAloneAfter
 	default:
 		return false
 	}
--- a/internal/mesh/view/strain.go
+++ b/internal/mesh/view/strain.go
@@ -10,119 +10,118 @@
 )
 
 const (
-	// lateLeast is how late heartbeats must come to be told: more than a short pause of a process
-	// takes, and less than the silence after which a VM gets no more work.
-	lateLeast = 250 * time.Millisecond
-	// mostLates bounds how many are told: when a failure domain is lost all of its VMs are late.
-	mostLates = 16
-	// leastWitnesses is how many VMs must be heard for their word on this one to count. Of two VMs
+	// minLate is how late heartbeats must be to be reported: more than a short process pause,
+	// and less than the silence after which a VM gets no more work.
+	minLate = 250 * time.Millisecond
+	// maxLateMembers bounds the reports: when a failure domain is lost, all of its VMs are late.
+	maxLateMembers = 16
+	// minWitnesses is how many VMs must be heard for their reports to count. Between two VMs
 	// neither can tell whose link is slow.
-	leastWitnesses = 2
-	// strainAfter is how long messages must be late until a VM counts as strained. After a pause it
-	// reads heartbeats that were sent before the others heard it again.
+	minWitnesses = 2
+	// strainAfter is how long messages must be late until a VM counts as strained. After a pause it reads
+	// reports that were sent before the others heard it again.
 	strainAfter = Far * Period
-	// strainFor is how long a VM counts as strained at least, and strainMost at most. The time
-	// doubles with each strain that follows the one before within strainMost.
-	strainFor  = 10 * time.Second
-	strainMost = time.Minute
+	// minStrain and maxStrain bound how long a VM counts as strained once messages are in time again. The
+	// time doubles with each strain that begins within maxStrain of the end of the last one.
+	minStrain = 10 * time.Second
+	maxStrain = time.Minute
 )
 
-// Lates lists the members whose heartbeats come late, or are overdue.
+// LateMembers returns the members whose heartbeats are late or overdue.
 func (v *View) Lates(now time.Time) (all []frame.Late) {
 	for _, m := range v.Members() {
 		if m.State != Alive && m.State != Suspect {
 			continue
 		}
-		every := Far * Period
+		period := Far * Period
 		if v.Often(m) {
-			every = Period
+			period = Period
 		}
-		if by := max(m.Late, now.Sub(m.Heard)-every); by >= lateLeast && len(all) < mostLates {
-			all = append(all, frame.Late{VM: m.VM, By: by})
+		if late := max(m.Late, now.Sub(m.Heard)-period); late >= minLate && len(all) < maxLateMembers {
+			all = append(all, frame.Late{VM: m.VM, By: late})
 		}
 	}
 	return all
 }
 
-// Delay is how late this VM's messages reach the others: as late as half of the VMs that are heard
-// say, and half of those in the own failure domain. Those behind a partition that lets messages
-// pass one way only are not enough.
+// Delay returns how late this VM's messages reach the others: the lower of the median over all VMs heard
+// and the median over those of this failure domain. So the VMs behind a one-way partition alone can't raise it.
 func (v *View) Delay() time.Duration {
-	var all, near []time.Duration
+	var all, neighbours []time.Duration
 	for _, m := range v.Members() {
 		if m.State != Alive {
 			continue
 		}
-		by := saysOf(&m.Beat, v.self)
-		all = append(all, by)
+		delay := reportedDelay(&m.Beat, v.self)
+		all = append(all, delay)
 		if m.Domain == v.domain {
-			near = append(near, by)
+			neighbours = append(neighbours, delay)
 		}
 	}
-	if len(all) < leastWitnesses {
+	if len(all) < minWitnesses {
 		return 0
 	}
 	d := median(all)
-	if len(near) > 0 {
-		d = min(d, median(near))
+	if len(neighbours) > 0 {
+		d = min(d, median(neighbours))
 	}
 	return d
 }
 
-// saysOf is how late a heartbeat says that a VM's messages come.
-func saysOf(b *frame.Beat, vm netip.AddrPort) time.Duration {
-	by := time.Duration(0)
+// reportedDelay returns the delay that a heartbeat reports for the messages of a VM.
+func reportedDelay(b *frame.Beat, vm netip.AddrPort) time.Duration {
+	delay := time.Duration(0)
 	for _, l := range b.Late {
 		if l.VM == vm {
-			by = l.By
+			delay = l.By
 		}
 	}
 	if slices.Contains(b.Doubts, vm) {
-		by = max(by, suspectAfter)
+		delay = max(delay, suspectAfter)
 	}
-	return by
+	return delay
 }
 
-// median is the value that half of all reach at least.
+// median returns the largest value that at least half of all values reach.
 func median(all []time.Duration) time.Duration {
 	slices.Sort(all)
 	return all[len(all)/2]
 }
 
-// Strain tells whether a VM's messages are too late for it to own endpoints or to take callers.
+// StrainDetector detects that a VM's messages are too late for it to own endpoints or to accept clients.
 //
-// What goes wrong without it: the link or processor of one VM turns far slower than the others'. It
-// hears them in time and takes itself for healthy, while its orders and the jobs that it hands over
-// wait behind each other. One notices jobs of one VM's callers that end by their deadline.
+// The link or CPU of a VM may become far slower than the others'. It still hears them in time and considers
+// itself healthy, while its orders and the jobs that it hands over queue up, and jobs of its clients miss
+// their deadlines.
 type Strain struct {
-	on    bool
-	since time.Time // messages are late
-	until time.Time // it lasts at least so long
-	last  time.Time // when it ended
-	rest  time.Duration
+	strained  bool
+	lateSince time.Time // when messages became late
+	until     time.Time // earliest end
+	ended     time.Time // when the last strain ended
+	length    time.Duration
 }
 
-// Look takes in the delay of this VM's messages now and reports whether it is strained.
+// Update records the current delay of this VM's messages and reports whether it is strained.
 func (s *Strain) Look(now time.Time, delay time.Duration) bool {
-	late := delay >= lateLeast
+	late := delay >= minLate
 	switch {
 	case !late:
-		s.since = time.Time{}
-	case s.since.IsZero():
-		s.since = now
+		s.lateSince = time.Time{}
+	case s.lateSince.IsZero():
+		s.lateSince = now
 	}
 	switch {
-	case late && !s.on && now.Sub(s.since) >= strainAfter:
-		if s.rest == 0 || now.Sub(s.last) > strainMost {
-			s.rest = strainFor
+	case late && !s.strained && now.Sub(s.lateSince) >= strainAfter:
+		if s.length == 0 || now.Sub(s.ended) > maxStrain {
+			s.length = minStrain
 		} else {
-			s.rest = min(2*s.rest, strainMost)
+			s.length = min(2*s.length, maxStrain)
 		}
-		s.on, s.until = true, now.Add(s.rest)
-	case s.on && late:
-		s.until = timer.Later(s.until, now.Add(strainFor/2))
-	case s.on && !now.Before(s.until):
-		s.on, s.last = false, now
+		s.strained, s.until = true, now.Add(s.length)
+	case s.strained && late:
+		s.until = timer.Later(s.until, now.Add(minStrain/2))
+	case s.strained && !now.Before(s.until):
+		s.strained, s.ended = false, now
 	}
-	return s.on
+	return s.strained
 }
--- a/internal/mesh/view/strain_test.go
+++ b/internal/mesh/view/strain_test.go
@@ -11,8 +11,8 @@
 	"dahliawinch/internal/mesh/frame"
 )
 
-// speak lets a member say how late this VM's messages come.
-func speak(v *View, n int, domain string, by time.Duration) {
+// reportDelay sends a member's heartbeat that reports this VM's messages as late.
+func reportDelay(v *View, n int, domain string, by time.Duration) {
 	b := frame.Beat{At: began}
 	if by > 0 {
 		b.Late = []frame.Late{{VM: vm(0), By: by}}
@@ -20,55 +20,55 @@
 	v.Hear(began, frame.Hello{VM: vm(n), Inc: 1, Domain: domain}, &b)
 }
 
-// Guards against a VM that is slow and takes itself for healthy.
-func TestDelayIsWhatHalfOfTheOthersSay(t *testing.T) {
+// Guards against a slow VM that considers itself healthy.
+func TestDelayIsMedianOfReports(t *testing.T) {
 	is := is.New(t)
 	v := New(vm(0), "a", began)
-	speak(v, 1, "a", time.Second)
-	is.Equal(v.Delay(), time.Duration(0)) // of two VMs either may be the slow one
-	speak(v, 2, "b", 300*time.Millisecond)
+	reportDelay(v, 1, "a", time.Second)
+	is.Equal(v.Delay(), time.Duration(0)) // of two VMs either may be slow
+	reportDelay(v, 2, "b", 300*time.Millisecond)
 	is.Equal(v.Delay(), time.Second)
-	speak(v, 3, "b", 0)
-	speak(v, 4, "c", 0)
+	reportDelay(v, 3, "b", 0)
+	reportDelay(v, 4, "c", 0)
 	is.Equal(v.Delay(), 300*time.Millisecond)
-	speak(v, 5, "c", 0)
+	reportDelay(v, 5, "c", 0)
 	is.Equal(v.Delay(), time.Duration(0))
 }
 
-// Guards against a failure domain behind a one-way cut whose VMs all take themselves for slow.
-func TestNeighboursMustFindTheDelayToo(t *testing.T) {
+// Guards against a failure domain behind a one-way partition whose VMs all consider themselves slow.
+func TestDelayNeedsNeighboursToo(t *testing.T) {
 	is := is.New(t)
 	v := New(vm(0), "a", began)
-	speak(v, 1, "a", 0)
+	reportDelay(v, 1, "a", 0)
 	for n := range 4 {
-		speak(v, 2+n, "b", time.Second)
+		reportDelay(v, 2+n, "b", time.Second)
 	}
 	is.Equal(v.Delay(), time.Duration(0))
-	speak(v, 1, "a", 200*time.Millisecond)
+	reportDelay(v, 1, "a", 200*time.Millisecond)
 	is.Equal(v.Delay(), 200*time.Millisecond)
 }
 
-func TestLateHeartbeatsAreTold(t *testing.T) {
+func TestLateHeartbeatsAreReported(t *testing.T) {
 	is := is.New(t)
 	v := New(vm(0), "a", began)
-	for k, late := range []time.Duration{0, lateLeast / 2, time.Second} {
+	for k, late := range []time.Duration{0, minLate / 2, time.Second} {
 		sent := began.Add(time.Duration(k) * Period)
 		hear(v, sent.Add(late), 1, 1, frame.Beat{At: sent})
 	}
 	now := began.Add(2*Period + time.Second)
 	is.Equal(len(v.Lates(now)), 1)
-	is.True(v.Lates(now)[0].By >= time.Second-2*skewDrift)
+	is.True(v.Lates(now)[0].By >= time.Second-2*clockDrift)
 	hear(v, now, 1, 1, frame.Beat{At: now})
 	is.Equal(len(v.Lates(now)), 0)
-	is.Equal(len(v.Lates(now.Add(Period+lateLeast))), 1) // the next one is overdue
-	is.Equal(saysOf(&frame.Beat{Doubts: []netip.AddrPort{vm(0)}}, vm(0)), suspectAfter)
+	is.Equal(len(v.Lates(now.Add(Period+minLate))), 1) // the next one is overdue
+	is.Equal(reportedDelay(&frame.Beat{Doubts: []netip.AddrPort{vm(0)}}, vm(0)), suspectAfter)
 }
 
-// Guards against units that go to and fro while a VM is slow only under load.
+// Guards against units that move back and forth while a VM is slow only under load.
 func TestStrainLastsLongerEachTime(t *testing.T) {
 	is := is.New(t)
 	var s Strain
-	now, spells := began, []time.Duration{}
+	now, lengths := began, []time.Duration{}
 	for range 4 {
 		for !s.Look(now, time.Second) {
 			now = now.Add(Period)
@@ -77,29 +77,29 @@
 		for s.Look(now, 0) {
 			now = now.Add(Period)
 		}
-		spells = append(spells, now.Sub(from))
+		lengths = append(lengths, now.Sub(from))
 	}
-	is.Equal(spells, []time.Duration{strainFor, 2 * strainFor, 4 * strainFor, strainMost})
+	is.Equal(lengths, []time.Duration{minStrain, 2 * minStrain, 4 * minStrain, maxStrain})
 }
 
-// Guards against a VM that counts as strained for a single late heartbeat, or for good.
+// Guards against a VM that counts as strained for a single late heartbeat, or forever.
 func TestStrainFollowsTheDelay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s Strain
 		now, late, quiet := began, time.Duration(0), time.Duration(0)
 		for range rapid.IntRange(1, 200).Draw(t, "looks") {
 			delay := time.Duration(rapid.IntRange(0, 300).Draw(t, "delay")) * time.Millisecond
-			if delay >= lateLeast {
+			if delay >= minLate {
 				late, quiet = late+Period, 0
 			} else {
 				late, quiet = 0, quiet+Period
 			}
-			was := s.on
+			was := s.strained
 			on := s.Look(now, delay)
 			if on && !was && late < strainAfter {
 				t.Fatalf("strained after %s", late)
 			}
-			if on && quiet > strainMost {
+			if on && quiet > maxStrain {
 				t.Fatalf("strained though in time for %s", quiet)
 			}
 			now = now.Add(Period)
--- a/internal/mesh/view/view.go
+++ b/internal/mesh/view/view.go
@@ -10,121 +10,118 @@
 	"dahliawinch/internal/mesh/frame"
 )
 
-// Times of the view.
+// Times and sizes of the view.
 const (
 	// Period is the time between heartbeats inside a failure domain.
 	Period = 100 * time.Millisecond
-	// Far is how many times longer heartbeats and patience are between failure
-	// domains: there are many more such pairs, and none shares slots.
+	// RemoteFactor is how many times longer heartbeat periods and timeouts are between failure domains:
+	// there are many more such pairs, and none shares slots.
 	Far = 3
-	// mostLinks is how many links a VM has by its own choice where its failure domain is large, but
-	// for leastFar to others, which are needed to see a domain that is lost.
-	mostLinks = 64
-	leastFar  = 12
-	// FarLinks is how many VMs of other failure domains a VM keeps links to by its
-	// own choice; about as many choose it.
+	// maxLinks is how many links a VM in a large failure domain picks, except that at least minRemoteLinks
+	// go to other domains, which are needed to detect the loss of a domain.
+	maxLinks       = 64
+	minRemoteLinks = 12
+	// RemoteLinks is how many VMs of other failure domains a VM picks for links; about as many
+	// pick it.
 	FarLinks = 6
-	// largeDomain is the size from which a failure domain's heartbeats go as seldom as
-	// between domains: each VM sends one to all others, and with 75 VMs these are most of
-	// all messages.
+	// largeDomain is the size from which heartbeats inside a failure domain are as infrequent as between
+	// domains: each VM sends one to all others, and with 75 VMs these are most of all messages.
 	largeDomain = 32
 	// suspectAfter is the silence after which a member gets no more work.
 	suspectAfter = 5 * Period
-	// goneAfter is the silence after which it is gone if a witness agrees.
+	// goneAfter is the silence after which a member is gone if another VM confirms it.
 	goneAfter = 10 * Period
-	// aloneAfter is the silence after which it is gone without any witness.
-	aloneAfter = 30 * Period
-	// skewDrift is how far two VMs' clocks may drift apart in a second.
-	skewDrift = time.Millisecond
+	// goneAloneAfter is the silence after which a member is gone if there is no other VM to confirm it.
+	goneAloneAfter = 30 * Period
+	// clockDrift is how far two VMs' clocks may drift apart in a second.
+	clockDrift = time.Millisecond
 )
 
-// Change is something that the other parts must act on.
+// Change is a change of a member's state or incarnation that the caller must act on.
 type Change struct {
 	VM    netip.AddrPort
 	Inc   uint64
 	State State
-	// Reborn is set when a new incarnation took the place of one that was there:
-	// whatever was given to the old one is lost.
+	// Restarted is set when a new incarnation replaced an earlier one: work given to the earlier
+	// one is lost.
 	Reborn bool
 }
 
-// View follows the members; a request reads a snapshot and takes no lock.
+// View tracks the members. Readers use a snapshot, mostly without a lock.
 //
-// What may go wrong: one bad link makes a VM drop a healthy peer, whose endpoints
-// then have two homes, which send to the same slots. One notices refusals from
-// full endpoints. A member is therefore gone only when a second VM doubts it too,
-// or when there is nobody else to ask.
+// One bad link must not make a VM drop a healthy peer: two VMs would then hold the slots of its endpoints, and
+// full endpoints would refuse work. A member is therefore gone only when a second VM doubts it too, or when
+// there is no other VM to ask.
 type View struct {
-	self   netip.AddrPort
-	domain string
-	links  int          // to other failure domains, by own choice
-	near   atomic.Int32 // VMs of the own domain that are heard
-	mu     sync.Mutex
-	all    map[netip.AddrPort]*Member
-	order  []netip.AddrPort // of all, sorted; nil when one came or went
-	snap   atomic.Pointer[[]*Member]
-	stale  atomic.Bool // snap is older than all
-	began  time.Time
+	self        netip.AddrPort
+	domain      string
+	remoteLinks int          // links to other failure domains that this VM picks
+	neighbours  atomic.Int32 // VMs of this domain that are alive
+	mu          sync.Mutex
+	members     map[netip.AddrPort]*Member
+	sorted      []netip.AddrPort // keys of members; nil after a change of the set
+	snap        atomic.Pointer[[]*Member]
+	stale       atomic.Bool // snap is older than members
+	began       time.Time
 }
 
-// New returns a view that knows only itself.
+// New returns a view without members.
 func New(self netip.AddrPort, domain string, now time.Time) *View {
-	v := &View{self: self, domain: domain, links: FarLinks, all: map[netip.AddrPort]*Member{}, began: now}
-	v.publish()
+	v := &View{self: self, domain: domain, remoteLinks: FarLinks, members: map[netip.AddrPort]*Member{}, began: now}
+	v.markStale()
 	return v
 }
 
-// Members returns all other VMs in the order of their addresses.
+// Members returns all other VMs, sorted by address.
 func (v *View) Members() []*Member {
 	if v.stale.Load() {
 		v.mu.Lock()
 		defer v.mu.Unlock()
-		v.snapshot()
+		v.rebuild()
 	}
 	return *v.snap.Load()
 }
 
-// Find returns one member or nil.
+// Find returns a member or nil.
 func (v *View) Find(vm netip.AddrPort) *Member {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.all[vm]
+	return v.members[vm]
 }
 
-// Domain returns the VMs of the own failure domain that keep slots, self
-// included unless it leaves. A VM that is listed counts for a while before it is
-// heard: a VM that just started would else take all the domain's slots for its own.
+// DomainVMs returns the VMs of this failure domain that hold slots, including this VM unless it leaves.
+// A listed VM counts for a while before it is heard: otherwise a VM that just started would take all slots of
+// the domain.
 func (v *View) Domain(now time.Time, leaving bool) []netip.AddrPort {
 	var vms []netip.AddrPort
 	if !leaving {
 		vms = append(vms, v.self)
 	}
 	for _, m := range v.Members() {
-		if m.Domain == v.domain && m.keeps(now) {
+		if m.Domain == v.domain && m.holdsSlots(now) {
 			vms = append(vms, m.VM)
 		}
 	}
 	return vms
 }
 
-// Joined reports whether every VM that this one keeps a link to was heard, or had
-// its time to be.
+// Joined reports whether every VM that this one picked was heard or has had time to be heard.
 func (v *View) Joined(now time.Time) bool {
 	for _, m := range v.Members() {
-		if m.Picked && m.State == Listed && now.Sub(m.Heard) < aloneAfter {
+		if m.Picked && m.State == Listed && now.Sub(m.Heard) < goneAloneAfter {
 			return false
 		}
 	}
 	return true
 }
 
-// Named is a VM as settings or the platform's list name it.
+// Named is a VM as named by the settings or the platform's list.
 type Named struct {
 	VM     netip.AddrPort
 	Domain string
 }
 
-// Learn adds VMs from settings or the list.
+// Learn adds VMs from the settings or the list.
 func (v *View) Learn(now time.Time, vms ...Named) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -133,48 +130,47 @@
 		if n.VM == v.self {
 			continue
 		}
-		if was := v.all[n.VM]; was != nil {
-			if was.Domain == "" && n.Domain != "" { // settings name VMs without their domains
-				m := *was
+		if known := v.members[n.VM]; known != nil {
+			if known.Domain == "" && n.Domain != "" { // settings name VMs without their domains
+				m := *known
 				m.Domain = n.Domain
-				v.all[n.VM] = &m
+				v.members[n.VM] = &m
 				added = true
 			}
 			continue
 		}
-		v.all[n.VM] = &Member{VM: n.VM, Domain: n.Domain, Heard: now}
-		v.order, added = nil, true
+		v.members[n.VM] = &Member{VM: n.VM, Domain: n.Domain, Heard: now}
+		v.sorted, added = nil, true
 	}
 	if added {
-		v.pick()
-		v.publish()
+		v.pickLinks()
+		v.markStale()
 	}
 }
 
-// Forget drops members that neither settings nor list name and that are not
-// there, so that replaced VMs don't pile up.
-func (v *View) Forget(now time.Time, named func(netip.AddrPort) bool) {
+// Forget removes members that are neither named by settings or list nor up, so that replaced VMs
+// don't accumulate.
+func (v *View) Forget(now time.Time, isNamed func(netip.AddrPort) bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for vm, m := range v.all {
-		if !named(vm) && m.State != Alive && m.State != Suspect && now.Sub(m.Heard) > 10*aloneAfter {
-			delete(v.all, vm)
-			v.order = nil
+	for vm, m := range v.members {
+		if !isNamed(vm) && m.State != Alive && m.State != Suspect && now.Sub(m.Heard) > 10*goneAloneAfter {
+			delete(v.members, vm)
+			v.sorted = nil
 		}
 	}
-	v.pick()
-	v.publish()
+	v.pickLinks()
+	v.markStale()
 }
 
-// Hear takes in a beat. A beat of an older incarnation is dropped: it was sent by
-// a process that has been replaced.
+// RecordBeat records a heartbeat. One of an older incarnation is dropped: its process has been replaced.
 func (v *View) Hear(now time.Time, from frame.Hello, b *frame.Beat) (Change, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	was := v.all[from.VM]
+	was := v.members[from.VM]
 	if was == nil {
 		was = &Member{VM: from.VM, Domain: from.Domain, Picked: from.Domain == v.domain}
-		v.order = nil
+		v.sorted = nil
 	}
 	if from.Inc < was.Inc {
 		return Change{}, false
@@ -182,59 +178,59 @@
 	m := &Member{VM: from.VM, Domain: from.Domain, Inc: from.Inc, State: Alive, Picked: was.Picked || from.Domain == v.domain, Heard: now, Beat: *b}
 	m.Skew = now.Sub(b.At)
 	if was.Inc == m.Inc {
-		m.Skew = min(m.Skew, was.Skew+drifts(now.Sub(was.Heard)))
+		m.Skew = min(m.Skew, was.Skew+maxDrift(now.Sub(was.Heard)))
 	}
 	m.Late = m.Age(now, b.At)
 	if b.Leaving {
 		m.State = Left
 	}
-	v.all[from.VM] = m
+	v.members[from.VM] = m
 	if was.Inc == 0 {
-		v.pick()
+		v.pickLinks()
 	}
-	v.publish()
+	v.markStale()
 	c := Change{VM: m.VM, Inc: m.Inc, State: m.State, Reborn: was.Inc != 0 && was.Inc != m.Inc}
 	return c, c.Reborn || m.State != was.State
 }
 
-// Load notes a member's room between beats.
+// SetRoom updates a member's room between heartbeats.
 func (v *View) Load(vm netip.AddrPort, r frame.Room) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if was := v.all[vm]; was != nil {
+	if was := v.members[vm]; was != nil {
 		m := *was
 		m.Beat.Room = r
-		v.all[vm] = &m
-		v.publish()
+		v.members[vm] = &m
+		v.markStale()
 	}
 }
 
-// Tick looks at the silences.
+// Tick updates the states of members from their silence and returns the changes.
 func (v *View) Tick(now time.Time) (changes []Change) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for vm, m := range v.all {
+	for vm, m := range v.members {
 		if m.State == Listed || m.State == Gone {
 			continue
 		}
-		next := v.judge(now, m)
+		next := v.nextState(now, m)
 		if next == m.State {
 			continue
 		}
 		c := *m
 		c.State = next
-		v.all[vm] = &c
+		v.members[vm] = &c
 		changes = append(changes, Change{VM: vm, Inc: m.Inc, State: next})
 	}
 	if len(changes) > 0 {
-		v.publish()
+		v.markStale()
 	}
 	return changes
 }
 
-func (v *View) judge(now time.Time, m *Member) State {
+func (v *View) nextState(now time.Time, m *Member) State {
 	silence := v.silence(now, m)
-	if m.State == Left { // it said so, which is witness enough
+	if m.State == Left { // its own announcement needs no confirmation
 		if silence >= goneAfter {
 			return Gone
 		}
@@ -247,7 +243,7 @@
 		return Suspect
 	}
 	others := 0
-	for _, w := range v.all {
+	for _, w := range v.members {
 		if w.VM == m.VM || w.State != Alive || v.silence(now, w) >= suspectAfter {
 			continue
 		}
@@ -256,83 +252,82 @@
 			return Gone
 		}
 	}
-	if others == 0 && silence >= aloneAfter {
+	if others == 0 && silence >= goneAloneAfter {
 		return Gone
 	}
 	return Suspect
 }
 
-// large reports whether heartbeats inside the own domain are as seldom as to others.
-func (v *View) large() bool { return v.near.Load() >= largeDomain }
+// isLarge reports whether heartbeats inside this domain are as infrequent as between domains.
+func (v *View) isLarge() bool { return v.neighbours.Load() >= largeDomain }
 
-// Often reports whether a member gets every heartbeat, and not each Far-th.
-func (v *View) Often(m *Member) bool { return m.Domain == v.domain && !v.large() }
+// GetsEveryBeat reports whether a member is sent every heartbeat, not only each RemoteFactor-th.
+func (v *View) Often(m *Member) bool { return m.Domain == v.domain && !v.isLarge() }
 
-// silence of a member, by the measure of the own failure domain.
+// silence returns how long a member has been silent, scaled to the heartbeat period inside a domain.
 func (v *View) silence(now time.Time, m *Member) time.Duration {
 	d := now.Sub(m.Heard)
-	if m.Domain != v.domain || v.large() {
+	if m.Domain != v.domain || v.isLarge() {
 		d /= Far
 	}
 	return d
 }
 
-// Resume forgives the silence that a pause of this VM made; without it a VM that
-// wakes up would declare all its peers gone.
+// Resume resets all silences after a pause of this VM. Otherwise a VM that wakes up would consider all
+// its peers gone.
 func (v *View) Resume(now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for vm, m := range v.all {
+	for vm, m := range v.members {
 		c := *m
-		c.Skew += drifts(now.Sub(c.Heard))
+		c.Skew += maxDrift(now.Sub(c.Heard))
 		c.Heard = now
-		v.all[vm] = &c
+		v.members[vm] = &c
 	}
-	v.publish()
+	v.markStale()
 }
 
-// Doubts lists the members that this VM doesn't hear, also those that are gone for a while yet.
+// Doubts returns the members that this VM doesn't hear, including those that have been gone for a short while.
 //
-// What goes wrong without the latter: of two VMs that are left, the first that takes the others for gone is no
-// witness any more. The other one has none, and waits for them for good. One notices endpoints that nobody claims.
+// Without the latter, when two VMs are left and one of them considers the others gone, it stops confirming that
+// to the second, which then never considers them gone: endpoints stay unclaimed.
 func (v *View) Doubts(now time.Time) (vms []netip.AddrPort) {
 	for _, m := range v.Members() {
 		silence := v.silence(now, m)
 		unheard := (m.State == Alive || m.State == Suspect) && silence >= suspectAfter
-		if unheard || (m.State == Gone && silence < aloneAfter) {
+		if unheard || (m.State == Gone && silence < goneAloneAfter) {
 			vms = append(vms, m.VM)
 		}
 	}
 	return vms
 }
 
-// publish notes that the members have changed.
-func (v *View) publish() { v.stale.Store(true) }
+// markStale records that the members have changed.
+func (v *View) markStale() { v.stale.Store(true) }
 
-// snapshot makes the members readable. It is made when it is wanted and not with every
-// heartbeat: of those there come a thousand a second in a large deployment. The caller
-// holds the lock.
-func (v *View) snapshot() {
+// rebuild makes a new snapshot if it is stale. It runs on reads and not for each heartbeat, since a large
+// deployment has a thousand of those a second. The caller holds the lock.
+func (v *View) rebuild() {
 	if !v.stale.Load() {
 		return
 	}
-	if len(v.order) != len(v.all) {
-		v.order = make([]netip.AddrPort, 0, len(v.all))
-		for vm := range v.all {
-			v.order = append(v.order, vm)
+	if len(v.sorted) != len(v.members) {
+		v.sorted = make([]netip.AddrPort, 0, len(v.members))
+		for vm := range v.members {
+			v.sorted = append(v.sorted, vm)
 		}
-		slices.SortFunc(v.order, netip.AddrPort.Compare)
+		slices.SortFunc(v.sorted, netip.AddrPort.Compare)
 	}
-	all := make([]*Member, 0, len(v.order))
-	near := int32(0)
-	for _, vm := range v.order {
-		m := v.all[vm]
+	all := make([]*Member, 0, len(v.sorted))
+	neighbours := int32(0)
+	for _, vm := range v.sorted {
+		m := v.members[vm]
 		if m.Domain == v.domain && m.State == Alive {
-			near++
+			neighbours++
 		}
 		all = append(all, m)
 	}
-	v.near.Store(near)
+	v.neighbours.Store(neighbours)
 	v.snap.Store(&all)
-	v.stale.Store(false) // last: whoever sees it takes no lock
+	v.stale.Store(false) // must be last: readers that see false take no lock
 }
--- a/internal/mesh/view/view_test.go
+++ b/internal/mesh/view/view_test.go
@@ -22,9 +22,8 @@
 	return v.Hear(at, frame.Hello{VM: vm(n), Inc: inc, Domain: "a"}, &b)
 }
 
-// Symptom: a healthy VM's endpoints get two homes. Sequence: the link between two
-// VMs fails while both are well heard by a third. Cause: silence on one link is
-// taken for death.
+// Guards against two VMs that hold the slots of a healthy VM's endpoints: the link between two VMs fails while a
+// third hears both, and silence on one link is taken for a loss.
 func TestOneBadLinkDropsNobody(t *testing.T) {
 	is := is.New(t)
 	v := New(vm(0), "a", began)
@@ -42,8 +41,8 @@
 	is.Equal(v.Find(vm(1)).State, Gone)
 }
 
-// Guards against the second of two VMs that are left, whose only witness has given the others up and says so no more.
-func TestMemberThatIsGoneIsDoubtedForAWhile(t *testing.T) {
+// Guards against the second of two VMs left, whose only witness considers the others gone and stops confirming it.
+func TestGoneMemberIsDoubtedForAWhile(t *testing.T) {
 	is := is.New(t)
 	v := New(vm(0), "a", began)
 	hear(v, began, 1, 1, frame.Beat{})
@@ -52,23 +51,22 @@
 	v.Tick(at)
 	is.Equal(v.Find(vm(1)).State, Gone)
 	is.Equal(v.Doubts(at), []netip.AddrPort{vm(1)})
-	is.Equal(len(v.Doubts(began.Add(aloneAfter-1))), 2) // vm(2) is silent too by now
-	is.Equal(v.Doubts(began.Add(aloneAfter)), []netip.AddrPort{vm(2)})
+	is.Equal(len(v.Doubts(began.Add(goneAloneAfter-1))), 2) // vm(2) is silent too by now
+	is.Equal(v.Doubts(began.Add(goneAloneAfter)), []netip.AddrPort{vm(2)})
 }
 
-func TestAloneAVMDecidesLater(t *testing.T) {
+func TestLoneVMDecidesLater(t *testing.T) {
 	is := is.New(t)
 	v := New(vm(0), "a", began)
 	hear(v, began, 1, 1, frame.Beat{})
 	v.Tick(began.Add(2 * time.Second))
 	is.Equal(v.Find(vm(1)).State, Suspect)
-	v.Tick(began.Add(aloneAfter))
+	v.Tick(began.Add(goneAloneAfter))
 	is.Equal(v.Find(vm(1)).State, Gone)
 }
 
-// Symptom: work is given to a process that no longer exists. Sequence: a VM
-// restarts, and a delayed beat of its old process arrives last. Cause: beats are
-// not told apart by incarnation.
+// Guards against work sent to a process that no longer exists: a VM restarts, and a delayed heartbeat of its old
+// incarnation arrives last.
 func TestOldIncarnationIsDropped(t *testing.T) {
 	is := is.New(t)
 	v := New(vm(0), "a", began)
@@ -80,9 +78,8 @@
 	is.Equal(v.Find(vm(1)).Beat.Room.Free, 3)
 }
 
-// Symptom: work given to a VM that left is awaited until its deadline. Sequence: it
-// leaves, and its last results are lost with its last connection. Cause: a member
-// that left is never taken for gone.
+// Guards against work that waits until its deadline: a VM leaves, its last results are lost with its last connection,
+// and a member that left is never considered gone.
 func TestLeftMemberIsGoneOnceSilent(t *testing.T) {
 	is := is.New(t)
 	v := New(vm(0), "a", began)
@@ -92,8 +89,8 @@
 	is.Equal(v.Find(vm(1)).State, Gone)
 }
 
-// Symptom: control messages grow with every failure domain that is added. Sequence:
-// 400 VMs in 45 domains. Cause: each VM keeps links to all.
+// Guards against control messages that grow with every added failure domain, as when each of 400 VMs in 45 domains
+// keeps links to all others.
 func TestLinksStayFew(t *testing.T) {
 	is := is.New(t)
 	const vms, domains = 400, 45
@@ -123,7 +120,7 @@
 	is.True(most <= 4*FarLinks)
 }
 
-func TestPauseOfThisVMBlamesNobody(t *testing.T) {
+func TestOwnPauseSuspectsNobody(t *testing.T) {
 	is := is.New(t)
 	v := New(vm(0), "a", began)
 	hear(v, began, 1, 1, frame.Beat{})
@@ -131,9 +128,8 @@
 	is.Equal(len(v.Tick(began.Add(20*time.Second))), 0)
 }
 
-// Symptom: a VM counts its neighbour as one of another failure domain. Sequence: settings
-// name the neighbour without its domain, the store then names it with it. Cause: what was
-// learned first stays.
+// Guards against a VM that assigns its neighbour to another failure domain: the settings name the neighbour without
+// a domain, the store later names it with one, and the first is kept.
 func TestDomainIsLearnedLater(t *testing.T) {
 	is := is.New(t)
 	self, other := netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:1")
@@ -143,10 +139,9 @@
 	is.Equal(v.Find(other).Domain, "x")
 }
 
-// Symptom: with 75 VMs in a failure domain most of all messages are heartbeats. Cause:
-// each VM sends one to all others ten times a second. With seldom ones a silence must last
-// longer to mean something.
-func TestHeartbeatsOfALargeDomainAreSeldom(t *testing.T) {
+// Guards against heartbeats that make up most of all messages: with 75 VMs in a failure domain, each sends one to all
+// others ten times a second. With fewer heartbeats a longer silence must be allowed.
+func TestLargeDomainSendsFewerHeartbeats(t *testing.T) {
 	is := is.New(t)
 	v := New(vm(0), "a", began)
 	for i := 1; i < largeDomain; i++ {
@@ -161,10 +156,9 @@
 	is.Equal(len(v.Doubts(began.Add(Far*suspectAfter))), largeDomain)
 }
 
-// Symptom: a VM's process ends with a fault as it starts. Sequence: two of its threads
-// look at the members for the first time in the same instant. Cause: the first marks the
-// snapshot as fresh before it is there, and the second reads none.
-func TestMembersAreThereForAllWhoLookFirst(t *testing.T) {
+// Guards against a crash at the start: two goroutines read the members for the first time at once, the first marks the
+// snapshot as fresh before it is stored, and the second reads nil.
+func TestConcurrentFirstReadsSeeMembers(t *testing.T) {
 	const threads = 8
 	for range 3000 {
 		v := New(vm(0), "a", began)
@@ -174,7 +168,7 @@
 			all.Go(func() {
 				<-start
 				if len(v.Members()) != 0 {
-					t.Error("members of nowhere")
+					t.Error("a new view has members")
 				}
 			})
 		}
