--- a/internal/mesh/frame/frame.go
+++ b/internal/mesh/frame/frame.go
@@ -11,30 +11,30 @@
 )
 
 const (
-	headSize = 5
-	// Most is the largest payload of a frame: a full submission and some.
-	Most = 24 << 20
+	headerSize = 5
+	// MaxPayload is the largest payload of a frame in bytes: a submission of the largest size and some spare.
+	MaxPayload = 24 << 20
 )
 
-// The errors of a frame.
+// Errors of frames that can't be read or written.
 var (
-	ErrKind = errors.New("unknown kind of frame")
+	ErrKind = errors.New("unknown frame kind")
 	ErrSize = errors.New("frame too large")
 )
 
-// Append encodes a message behind buf: four bytes of length, one of kind, then
-// msgpack.
+// Append appends the encoded message to buf: four bytes of payload length, one byte
+// of kind, then the payload in msgpack.
 func Append(buf []byte, m Msg) ([]byte, error) {
 	enc := msgpack.GetEncoder()
 	defer msgpack.PutEncoder(enc)
 	var out bytes.Buffer
 	enc.Reset(&out)
-	enc.UseCompactInts(true) // most numbers of a heartbeat are small
+	enc.UseCompactInts(true) // most numbers in a heartbeat are small
 	if err := enc.Encode(m); err != nil {
 		return buf, fmt.Errorf("encode %T: %w", m, err)
 	}
 	body := out.Bytes()
-	if len(body) > Most {
+	if len(body) > MaxPayload {
 		return buf, fmt.Errorf("encode %T of %d bytes: %w", m, len(body), ErrSize)
 	}
 	buf = binary.BigEndian.AppendUint32(buf, uint32(len(body)))
@@ -42,17 +42,17 @@
 	return append(buf, body...), nil
 }
 
-// Read decodes the next message and returns how many bytes it took.
+// Read decodes the next message and returns the number of bytes read.
 func Read(r io.Reader) (Msg, int, error) {
-	var head [headSize]byte
+	var head [headerSize]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
-		return nil, 0, fmt.Errorf("read frame head: %w", err)
+		return nil, 0, fmt.Errorf("read frame header: %w", err)
 	}
 	n, k := binary.BigEndian.Uint32(head[:4]), kind(head[4])
-	if n > Most {
+	if n > MaxPayload {
 		return nil, 0, fmt.Errorf("frame of %d bytes: %w", n, ErrSize)
 	}
-	if k == 0 || k >= kinds {
+	if k == 0 || k >= numKinds {
 		return nil, 0, fmt.Errorf("kind %d: %w", k, ErrKind)
 	}
 	body, err := readBody(r, int(n))
@@ -64,22 +64,23 @@
 			return nil, 0, fmt.Errorf("read frame: %w", err)
 		}
 	}
-	m := makers[k]()
+	m := constructors[k]()
 	if err := msgpack.Unmarshal(body, m); err != nil {
 		return nil, 0, fmt.Errorf("decode %T: %w", m, err)
 	}
-	return m, headSize + int(n), nil
+	return m, headerSize + int(n), nil
 }
 
-// smallBody is the length up to which a body is taken to be as long as announced.
-const smallBody = 1 << 10
+// maxPrealloc is the largest body, in bytes, that is allocated by its announced length.
+const maxPrealloc = 1 << 10
 
-// readBody reads a body of n bytes. That of a long one grows as bytes come, not as announced.
+// readBody reads a body of n bytes. The buffer of a long body grows with the bytes received,
+// so that a false length can't make it allocate much.
 func readBody(r io.Reader, n int) ([]byte, error) {
-	if n <= smallBody {
+	if n <= maxPrealloc {
 		body := make([]byte, n)
 		_, err := io.ReadFull(r, body)
-		return body, unexpected(err)
+		return body, unexpectedEOF(err)
 	}
 	body, err := io.ReadAll(io.LimitReader(r, int64(n)))
 	if err == nil && len(body) < n {
@@ -88,8 +89,8 @@
 	return body, err
 }
 
-// unexpected makes an end before the first byte one in the midst of a frame.
-func unexpected(err error) error {
+// unexpectedEOF turns io.EOF into io.ErrUnexpectedEOF: within a frame any end is too early.
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
--- a/internal/mesh/frame/frame_test.go
+++ b/internal/mesh/frame/frame_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestEveryMessageComesBackWhole(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	is := is.New(t)
 	var buf []byte
 	for _, m := range samples() {
--- a/internal/mesh/frame/msg.go
+++ b/internal/mesh/frame/msg.go
@@ -1,5 +1,5 @@
-// Package frame has the messages between entry VMs and their coding: msgpack in
-// frames over TCP.
+// Package frame defines the messages between entry VMs and their encoding: msgpack
+// in length-prefixed frames over TCP.
 package frame
 
 import (
@@ -20,94 +20,94 @@
 
 const (
 	kindHello kind = iota + 1
-	kindBeat
-	kindGive
-	kindTook
-	kindBack
+	kindHeartbeat
+	kindStartTasks
+	kindTasksAccepted
+	kindTaskResults
 	kindSubmit
-	kindReply
-	kindHave
-	kindWant
-	kindHand
-	kindTold
-	kindDrop
+	kindSubmitReply
+	kindDocument
+	kindDocumentRequest
+	kindRunJob
+	kindJobAnswer
+	kindCancelJob
 	kindLoad
-	kindPlanned
-	kindListed
-	kindAsk
-	kindSeen
-	kindPacked // another message, compressed; see Pack
+	kindPlanUpdate
+	kindEndpointUpdate
+	kindSnapshotRequest
+	kindAck
+	kindPacked // a compressed message; see Pack
 	kindKeepalive
-	kinds
+	numKinds
 )
 
-// Hello opens a link; whatever follows is of this incarnation.
+// Hello is the first message on a link. All that follow come from this incarnation of the VM.
 type Hello struct {
 	VM     netip.AddrPort `msgpack:"v"`
 	Inc    uint64         `msgpack:"i"`
 	Domain string         `msgpack:"d"`
-	// Counts says that the sender understands a Seen and what is packed.
-	Counts bool `msgpack:"c,omitempty"`
+	// Extended says that the sender can read Ack and packed messages.
+	Extended bool `msgpack:"c,omitempty"`
 }
 
-// Seen tells the receiver how many of its messages the sender has read. It rides on what goes out
-// anyway, in place of an acknowledgement of its own.
-type Seen struct {
+// Ack tells the receiver how many of its messages the sender has read. It is sent along with other
+// messages and replaces a separate acknowledgement.
+type Ack struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // the codec reads this tag
-	Inc      uint64   // the receiver's incarnation that is meant
-	Count    uint64   // its messages that must arrive
+	Inc      uint64   // the receiver's incarnation that sent the messages
+	Count    uint64   // its reliable messages that were read
 }
 
-// Beat is the heartbeat, with what peers need to send work where it can start.
+// Heartbeat tells peers that the sender is alive, and what they need to send work where it can start.
 type Beat struct {
 	At      time.Time        `msgpack:"t"` // the sender's clock
 	Room    Room             `msgpack:"f"`
-	Wait    time.Duration    `msgpack:"w"` // expected wait of a new routine task
+	Wait    time.Duration    `msgpack:"w"` // expected wait of a new task in the routine band
 	Queued  int              `msgpack:"q"`
 	Leaving bool             `msgpack:"l,omitempty"`
-	Doubts  []netip.AddrPort `msgpack:"s,omitempty"` // peers not heard from
-	Gone    []netip.AddrPort `msgpack:"g,omitempty"` // endpoints that said they leave
-	Out     []netip.AddrPort `msgpack:"o,omitempty"` // endpoints ejected
-	Rev     uint64           `msgpack:"r"`           // revision in force here
-	Asof    int64            `msgpack:"a"`
-	Use     map[string]Use   `msgpack:"u,omitempty"` // tenants with quotas
+	Doubts  []netip.AddrPort `msgpack:"s,omitempty"` // peers that the sender has not heard from lately
+	Gone    []netip.AddrPort `msgpack:"g,omitempty"` // endpoints that announced that they are leaving
+	Out     []netip.AddrPort `msgpack:"o,omitempty"` // endpoints ejected by health checks
+	Rev     uint64           `msgpack:"r"`           // configuration revision in force at the sender
+	Asof    int64            `msgpack:"a"`           // log offset up to which that revision was read
+	Use     map[string]Use   `msgpack:"u,omitempty"` // use by tenants with quotas
 	Claims  []Claim          `msgpack:"c,omitempty"` // groups of leased endpoints owned here
-	Power   float32          `msgpack:"p,omitempty"` // cores that the sender may use
-	// Storeless says that the platform's store does not answer the sender.
+	Power   float32          `msgpack:"p,omitempty"` // number of cores that the sender may use
+	// StoreDown says that the platform's store does not answer the sender.
 	Storeless bool `msgpack:"n,omitempty"`
-	// Late are the peers whose heartbeats reach the sender late.
+	// LatePeers are the peers whose heartbeats reach the sender late.
 	Late []Late `msgpack:"z,omitempty"`
-	// Strained says that the sender's messages reach most others late.
+	// Strained says that the sender's messages reach most other VMs late.
 	Strained bool `msgpack:"x,omitempty"`
-	// Suspects are tasks that the sender has come to suspect of crashing their endpoints.
+	// Suspects are tasks that the sender suspects of crashing their endpoints.
 	Suspects []Suspect `msgpack:"k,omitempty"`
-	// Losses are endpoints that have fallen silent to the sender or were lost.
+	// Losses are endpoints that stopped answering the sender or were lost.
 	Losses []Loss `msgpack:"m,omitempty"`
-	// Cleared are endpoints that the sender took over and where nothing runs for former owners any more.
+	// Cleared are endpoints that the sender now owns and that run nothing for former owners.
 	Cleared []Cleared `msgpack:"e,omitempty"`
-	// Load is the sender's load, if it is told with heartbeats alone.
+	// Load is the sender's load, if it is not sent in messages of its own.
 	Load *Load `msgpack:"y,omitempty"`
 }
 
-// Suspect is a task under which endpoints were lost.
+// Suspect is a task that was running on endpoints when they were lost.
 type Suspect struct {
 	Task string `msgpack:"t"`
-	Lost int    `msgpack:"n"`
+	Lost int    `msgpack:"n"` // number of endpoints
 }
 
-// Loss is an endpoint that has fallen silent or was lost.
+// Loss is an endpoint that stopped answering or was lost.
 type Loss struct {
 	Endpoint string        `msgpack:"i"`
 	Age      time.Duration `msgpack:"a"` // since the first sign
 }
 
-// Cleared says that an endpoint obeys a fence and runs nothing of lower ones.
+// Cleared says that an endpoint has accepted a fence and runs nothing under lower ones.
 type Cleared struct {
 	Endpoint string `msgpack:"i"`
 	Fence    uint64 `msgpack:"f"`
 }
 
-// Late says how much later than usual a peer's last heartbeat came.
+// LatePeer says how much later than usual a peer's last heartbeat came.
 type Late struct {
 	VM netip.AddrPort `msgpack:"v"`
 	By time.Duration  `msgpack:"b"`
@@ -116,69 +116,69 @@
 // Claim says that a VM owns groups of a failure domain's leased endpoints.
 type Claim struct {
 	Domain string   `msgpack:"d"`
-	Shards uint64   `msgpack:"g"` // a bit for each group
+	Shards uint64   `msgpack:"g"` // one bit for each group
 	Fence  uint64   `msgpack:"f"`
-	Giving bool     `msgpack:"l,omitempty"` // another VM is to take them over,
-	Held   []string `msgpack:"h,omitempty"` // but for these endpoints
+	Giving bool     `msgpack:"l,omitempty"` // ownership is being handed to another VM,
+	Held   []string `msgpack:"h,omitempty"` // except for these endpoints
 }
 
-// Room is how many tasks a VM could start now if it were given them.
+// Room is how many more tasks a VM could start now.
 type Room struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // the codec reads this tag
-	Free     int      // non-urgent ones
-	Urgent   int      // urgent ones: the reserve counts too
+	Free     int      // non-urgent tasks
+	Urgent   int      // urgent tasks, which may also use the reserve
 }
 
-// Less returns the room that is left after a number of tasks.
+// Minus returns the room that is left after n more tasks have started.
 func (r Room) Less(n int) Room {
 	return Room{Free: max(0, r.Free-n), Urgent: max(0, r.Urgent-n)}
 }
 
-// Use is what a tenant asks for and holds at one VM.
+// TenantUse is what a tenant asks for and holds at one VM.
 type Use struct {
-	Rate  float64 `msgpack:"r"` // task starts per second wanted
+	Rate  float64 `msgpack:"r"` // wanted task starts per second
 	Slots int     `msgpack:"s"` // slots held
 }
 
-// Task is one task on its way to another failure domain or VM.
+// Task is a task that is forwarded to another failure domain or VM.
 type Task struct {
-	Job    uint64        `msgpack:"j"` // of the giver
+	Job    uint64        `msgpack:"j"` // job number at the sender
 	Index  int           `msgpack:"i"`
 	Tenant string        `msgpack:"t"`
 	Class  string        `msgpack:"c"`
 	Kind   string        `msgpack:"k"`
-	Left   time.Duration `msgpack:"l"` // time until its answer is of no use
+	Left   time.Duration `msgpack:"l"` // time left until its answer is useless
 	Task   job.Task      `msgpack:"x"`
 }
 
-// Give asks a peer to start tasks at once; what it can't start it gives back.
+// StartTasks asks a peer to start tasks at once. It returns those that it can't start.
 type Give struct {
-	At    time.Time `msgpack:"a"` // the sender's clock; a delayed Give is not started
+	At    time.Time `msgpack:"a"` // the sender's clock; tasks of a delayed message are not started
 	Group uint64    `msgpack:"g"`
 	Tasks []Task    `msgpack:"t"`
 }
 
-// Took says how many tasks of a group were taken, from its head; the others did
-// not start.
+// TasksAccepted says how many tasks of a group were accepted, counted from its first;
+// the others did not start.
 type Took struct {
-	To    uint64 `msgpack:"b"` // the incarnation that gave the group
+	To    uint64 `msgpack:"b"` // the incarnation that sent the group
 	Group uint64 `msgpack:"g"`
 	N     int    `msgpack:"n"`
 	Room  Room   `msgpack:"f"`
 }
 
-// Fate of a given task.
+// TaskOutcome is how a forwarded task ended.
 type Fate uint8
 
-// The fates.
+// Values of TaskOutcome.
 const (
-	Ran       Fate = iota // and its result is in Body
-	RanBadly              // it ran and failed
-	NotRun                // nothing started, and that is certain
-	Uncertain             // a start can't be excluded
+	Ran       Fate = iota // the result is in Body
+	RanBadly              // it ran and returned a failure
+	NotRun                // it certainly did not start
+	Uncertain             // it may have started
 )
 
-// Ended is one task of a group that came to an end.
+// TaskResult is the end of one task of a group.
 type Ended struct {
 	Job    uint64 `msgpack:"j"`
 	Index  int    `msgpack:"i"`
@@ -187,9 +187,9 @@
 	Detail string `msgpack:"d,omitempty"`
 }
 
-// Back brings ended tasks of a group home.
+// TaskResults returns ended tasks of a group to the VM that sent it.
 type Back struct {
-	To    uint64  `msgpack:"b"` // the incarnation that gave the group
+	To    uint64  `msgpack:"b"` // the incarnation that sent the group
 	Group uint64  `msgpack:"g"`
 	Ended []Ended `msgpack:"e"`
 	Room  Room    `msgpack:"f"`
@@ -198,156 +198,157 @@
 // Submit hands a whole submission to the VM that may start it.
 type Submit struct {
 	Call uint64      `msgpack:"c"`
-	Look bool        `msgpack:"l,omitempty"` // only ask after its ticket
-	Stop bool        `msgpack:"s,omitempty"` // cancel what runs under its ticket
+	Look bool        `msgpack:"l,omitempty"` // only ask for the state of its ticket
+	Stop bool        `msgpack:"s,omitempty"` // cancel the job that runs under its ticket
 	Req  job.Request `msgpack:"r"`
 }
 
-// Reply answers a Submit.
+// SubmitReply answers a Submit.
 type Reply struct {
-	To     uint64     `msgpack:"b"` // the incarnation that handed it over
+	To     uint64     `msgpack:"b"` // the incarnation that sent the Submit
 	Call   uint64     `msgpack:"c"`
 	Answer job.Answer `msgpack:"a"`
 }
 
-// Have carries a revision of the document.
+// Document carries a revision of the configuration document.
 type Have struct {
 	Revision fold.Revision `msgpack:"r"`
 }
 
-// Want asks for the revision in force.
+// DocumentRequest asks for the revision in force.
 type Want struct{}
 
-// Hand gives a job to the owner of leased endpoints.
+// RunJob hands a job to the owner of leased endpoints.
 type Hand struct {
-	To   uint64    `msgpack:"t"` // the receiver's incarnation, whose clock Job.Asked goes by
+	To   uint64    `msgpack:"t"` // the receiver's incarnation; Job.Asked is a time of its clock
 	Call uint64    `msgpack:"c"`
 	Job  batch.Job `msgpack:"j"`
 }
 
-// Keepalive says which Hands the sender still waits for. What is in none for a while is not wanted.
+// Keepalive lists the RunJob calls that the sender still waits for. The receiver ends a job
+// that none has listed for a while.
 type Keepalive struct {
 	To    uint64    `msgpack:"a"` // the receiver's incarnation
-	Asked time.Time `msgpack:"t"` // when it was sent, at the earliest, by the receiver's clock
+	Asked time.Time `msgpack:"t"` // earliest time of sending, by the receiver's clock
 	Calls []uint64  `msgpack:"c"`
 }
 
-// Told answers a Hand.
+// JobAnswer answers a RunJob.
 type Told struct {
-	To     uint64     `msgpack:"b"` // the incarnation that handed the job over
-	Call   uint64     `msgpack:"c"` // of that incarnation
+	To     uint64     `msgpack:"b"` // the incarnation that sent the RunJob
+	Call   uint64     `msgpack:"c"` // call number of that incarnation
 	Answer job.Answer `msgpack:"a"`
 	Load   Load       `msgpack:"l"`
 }
 
-// Drop takes a Hand back: its caller left, or its time is over.
+// CancelJob cancels a RunJob because its caller left or its deadline has passed.
 type Drop struct {
 	At   time.Time `msgpack:"a"` // the sender's clock
 	Call uint64    `msgpack:"c"`
 }
 
-// Load tells how busy a VM's leased endpoints are; it overtakes heartbeats.
+// Load tells how busy a VM's leased endpoints are. It is sent without waiting for the next heartbeat.
 type Load struct {
-	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // the codec reads this tag
-	Free     float32  // cores that a job could use now
-	Total    float32  // cores open to work
-	Ahead    [3]float32
-	Next     time.Duration // until it is told again, at the latest
-	Lag      time.Duration // what an order takes the sender
+	_msgpack struct{}      `msgpack:",as_array"` //nolint:unused // the codec reads this tag
+	Free     float32       // cores that a job could use now
+	Total    float32       // cores that accept work
+	Ahead    [3]float32    // core-seconds waiting and running, of ranks up to 0, 1 and any
+	Next     time.Duration // the next Load comes within this time
+	Lag      time.Duration // time that an order to an endpoint takes the sender
 }
 
-// Planned passes on what the sender read of what operators declare.
+// PlanUpdate passes on what the sender read of the operators' declarations.
 type Planned struct {
-	From    int64       `msgpack:"f"` // places in the store's topic
+	From    int64       `msgpack:"f"` // offsets in the store's topic
 	To      int64       `msgpack:"t"`
 	All     []plan.Plan `msgpack:"p,omitempty"`
 	Cordons []string    `msgpack:"c,omitempty"` // failure domains that get no new work
-	Gone    []string    `msgpack:"g,omitempty"` // keys of declarations that were taken back
-	// Whole says that it is all that the sender knows, an answer to Ask.
+	Gone    []string    `msgpack:"g,omitempty"` // keys of withdrawn declarations
+	// Whole marks a full copy, sent in answer to a SnapshotRequest.
 	Whole bool `msgpack:"w,omitempty"`
 }
 
-// Listed passes on what the sender read of the leased endpoints.
+// EndpointUpdate passes on what the sender read of the leased endpoints.
 type Listed struct {
 	From int64        `msgpack:"f"`
 	To   int64        `msgpack:"t"`
 	All  []lease.Info `msgpack:"e,omitempty"`
 	Gone []string     `msgpack:"g,omitempty"`
-	// Whole says that it is all that the sender knows, an answer to Ask.
+	// Whole marks a full copy, sent in answer to a SnapshotRequest.
 	Whole bool `msgpack:"w,omitempty"`
 }
 
-// Ask asks for a copy of what the receiver read of the store.
+// SnapshotRequest asks for a copy of all that the receiver read from the store.
 type Ask struct {
 	Plans     bool `msgpack:"p,omitempty"`
 	Endpoints bool `msgpack:"e,omitempty"`
 }
 
 func (*Hello) kind() kind     { return kindHello }
-func (*Beat) kind() kind      { return kindBeat }
-func (*Give) kind() kind      { return kindGive }
-func (*Took) kind() kind      { return kindTook }
-func (*Back) kind() kind      { return kindBack }
+func (*Beat) kind() kind      { return kindHeartbeat }
+func (*Give) kind() kind      { return kindStartTasks }
+func (*Took) kind() kind      { return kindTasksAccepted }
+func (*Back) kind() kind      { return kindTaskResults }
 func (*Submit) kind() kind    { return kindSubmit }
-func (*Reply) kind() kind     { return kindReply }
-func (*Have) kind() kind      { return kindHave }
-func (*Want) kind() kind      { return kindWant }
-func (*Hand) kind() kind      { return kindHand }
-func (*Told) kind() kind      { return kindTold }
-func (*Drop) kind() kind      { return kindDrop }
+func (*Reply) kind() kind     { return kindSubmitReply }
+func (*Have) kind() kind      { return kindDocument }
+func (*Want) kind() kind      { return kindDocumentRequest }
+func (*Hand) kind() kind      { return kindRunJob }
+func (*Told) kind() kind      { return kindJobAnswer }
+func (*Drop) kind() kind      { return kindCancelJob }
 func (*Load) kind() kind      { return kindLoad }
-func (*Planned) kind() kind   { return kindPlanned }
-func (*Listed) kind() kind    { return kindListed }
-func (*Ask) kind() kind       { return kindAsk }
-func (*Seen) kind() kind      { return kindSeen }
+func (*Planned) kind() kind   { return kindPlanUpdate }
+func (*Listed) kind() kind    { return kindEndpointUpdate }
+func (*Ask) kind() kind       { return kindSnapshotRequest }
+func (*Ack) kind() kind       { return kindAck }
 func (*Keepalive) kind() kind { return kindKeepalive }
 
-// makers builds an empty message of each kind.
-var makers = [kinds]func() Msg{
-	kindHello:     func() Msg { return &Hello{} },
-	kindBeat:      func() Msg { return &Beat{} },
-	kindGive:      func() Msg { return &Give{} },
-	kindTook:      func() Msg { return &Took{} },
-	kindBack:      func() Msg { return &Back{} },
-	kindSubmit:    func() Msg { return &Submit{} },
-	kindReply:     func() Msg { return &Reply{} },
-	kindHave:      func() Msg { return &Have{} },
-	kindWant:      func() Msg { return &Want{} },
-	kindHand:      func() Msg { return &Hand{} },
-	kindTold:      func() Msg { return &Told{} },
-	kindDrop:      func() Msg { return &Drop{} },
-	kindLoad:      func() Msg { return &Load{} },
-	kindPlanned:   func() Msg { return &Planned{} },
-	kindListed:    func() Msg { return &Listed{} },
-	kindAsk:       func() Msg { return &Ask{} },
-	kindSeen:      func() Msg { return &Seen{} },
-	kindKeepalive: func() Msg { return &Keepalive{} },
+// constructors build an empty message of each kind.
+var constructors = [numKinds]func() Msg{
+	kindHello:           func() Msg { return &Hello{} },
+	kindHeartbeat:       func() Msg { return &Beat{} },
+	kindStartTasks:      func() Msg { return &Give{} },
+	kindTasksAccepted:   func() Msg { return &Took{} },
+	kindTaskResults:     func() Msg { return &Back{} },
+	kindSubmit:          func() Msg { return &Submit{} },
+	kindSubmitReply:     func() Msg { return &Reply{} },
+	kindDocument:        func() Msg { return &Have{} },
+	kindDocumentRequest: func() Msg { return &Want{} },
+	kindRunJob:          func() Msg { return &Hand{} },
+	kindJobAnswer:       func() Msg { return &Told{} },
+	kindCancelJob:       func() Msg { return &Drop{} },
+	kindLoad:            func() Msg { return &Load{} },
+	kindPlanUpdate:      func() Msg { return &Planned{} },
+	kindEndpointUpdate:  func() Msg { return &Listed{} },
+	kindSnapshotRequest: func() Msg { return &Ask{} },
+	kindAck:             func() Msg { return &Ack{} },
+	kindKeepalive:       func() Msg { return &Keepalive{} },
 }
 
-// Purpose names the part of the control cost that a message belongs to.
+// Purpose returns the label under which a message's bytes are counted as control traffic.
 func Purpose(m Msg) string { return purposes[m.kind()] }
 
-var purposes = [kinds]string{
-	kindHello: "link", kindBeat: "beat", kindGive: "forward", kindTook: "forward", kindBack: "forward",
-	kindSubmit: "handoff", kindReply: "handoff", kindHave: "document", kindWant: "document",
-	kindHand: "forward", kindTold: "forward", kindDrop: "forward", kindLoad: "load",
-	kindPlanned: "document", kindListed: "endpoints", kindAsk: "endpoints", kindSeen: "link", kindKeepalive: "forward",
+var purposes = [numKinds]string{
+	kindHello: "link", kindHeartbeat: "beat", kindStartTasks: "forward", kindTasksAccepted: "forward", kindTaskResults: "forward",
+	kindSubmit: "handoff", kindSubmitReply: "handoff", kindDocument: "document", kindDocumentRequest: "document",
+	kindRunJob: "forward", kindJobAnswer: "forward", kindCancelJob: "forward", kindLoad: "load",
+	kindPlanUpdate: "document", kindEndpointUpdate: "endpoints", kindSnapshotRequest: "endpoints", kindAck: "link", kindKeepalive: "forward",
 }
 
-// Reliable reports whether a message must arrive: it is kept until the peer has
-// read it. The others are overtaken by the next of their kind.
+// Reliable reports whether a message must arrive and is kept until the peer has read
+// it. The others are superseded by the next one of their kind.
 func Reliable(m Msg) bool {
 	switch m.(type) {
-	case *Hello, *Beat, *Want, *Load, *Planned, *Listed, *Ask, *Seen, *Keepalive:
+	case *Hello, *Beat, *Want, *Load, *Planned, *Listed, *Ask, *Ack, *Keepalive:
 		return false
 	default:
 		return true
 	}
 }
 
-// Answering reports whether a message answers one of the peer's or takes one back: it is
-// kept even while there is no connection, since the peer waits for it or would go on with
-// what nobody wants.
+// Answering reports whether a message answers or cancels an earlier one. It is kept even
+// while there is no connection: the peer waits for it, or would go on with work that
+// nobody wants.
 func Answering(m Msg) bool {
 	switch m.(type) {
 	case *Took, *Back, *Reply, *Told, *Drop:
--- a/internal/mesh/frame/pack.go
+++ b/internal/mesh/frame/pack.go
@@ -7,35 +7,35 @@
 	"github.com/klauspost/compress/s2"
 )
 
-// packFrom is the length from which a frame is worth compressing: shorter ones fit a few packets.
-const packFrom = 4 << 10
+// minPackSize is the smallest frame, in bytes, that is worth compressing: smaller ones fit into a few packets.
+const minPackSize = 4 << 10
 
-// Pack compresses an encoded frame if that is worth it, and returns it as it is else.
+// Pack returns an encoded frame compressed, or unchanged if compression does not make it smaller.
 //
-// What goes wrong without it: a VM that starts gets a copy of all endpoints, 113 bytes for each, most
-// of which say the same; after a loss of 300 VMs one that has read 3,000 endpoints gives 338 KB to
-// each of 36 others through 25 Mbit/s, which takes four seconds.
+// A VM that starts gets a copy of all endpoints, at 113 bytes each, which are largely alike. After a
+// loss of 300 VMs, a VM that has read 3,000 endpoints sends 338 KB to each of 36 others. Without
+// compression that takes four seconds at 25 Mbit/s.
 func Pack(data []byte) []byte {
-	if len(data) < packFrom {
+	if len(data) < minPackSize {
 		return data
 	}
-	b := make([]byte, headSize, headSize+s2.MaxEncodedLen(len(data)))
-	b = append(b, s2.Encode(b[headSize:cap(b)], data[headSize-1:])...) // the kind and the body
+	b := make([]byte, headerSize, headerSize+s2.MaxEncodedLen(len(data)))
+	b = append(b, s2.Encode(b[headerSize:cap(b)], data[headerSize-1:])...) // the frame's kind and body
 	if len(b) >= len(data) {
 		return data
 	}
-	binary.BigEndian.PutUint32(b, uint32(len(b)-headSize))
-	b[headSize-1] = byte(kindPacked)
+	binary.BigEndian.PutUint32(b, uint32(len(b)-headerSize))
+	b[headerSize-1] = byte(kindPacked)
 	return b
 }
 
-// unpack returns the kind and the body of what was packed.
+// unpack returns the kind and the body of the frame in a packed body.
 func unpack(body []byte) (k kind, plain []byte, err error) {
 	n, err := s2.DecodedLen(body)
 	if err != nil {
 		return 0, nil, fmt.Errorf("unpack: %w", err)
 	}
-	if n > Most+1 {
+	if n > MaxPayload+1 {
 		return 0, nil, fmt.Errorf("unpack %d bytes: %w", n, ErrSize)
 	}
 	if plain, err = s2.Decode(nil, body); err != nil {
--- a/internal/mesh/frame/pack_test.go
+++ b/internal/mesh/frame/pack_test.go
@@ -13,8 +13,8 @@
 	"dahliawinch/internal/task/lease"
 )
 
-// listed is a copy of so many endpoints.
-func listed(n int) *Listed {
+// endpointUpdate returns a full copy of n endpoints.
+func endpointUpdate(n int) *Listed {
 	m := &Listed{To: 7, Whole: true}
 	for i := range n {
 		m.All = append(m.All, lease.Info{
@@ -25,10 +25,10 @@
 	return m
 }
 
-func TestPackedFramesAreReadAsTheyWere(t *testing.T) {
+func TestPackedFramesRoundTrip(t *testing.T) {
 	is := is.New(t)
 	for _, n := range []int{0, 1, 30, 350, 3000} {
-		data, err := Append(nil, listed(n))
+		data, err := Append(nil, endpointUpdate(n))
 		is.NoErr(err)
 		packed := Pack(data)
 		t.Logf("%d endpoints: %d bytes, %d packed", n, len(data), len(packed))
@@ -36,25 +36,25 @@
 		m, size, err := Read(bytes.NewReader(packed))
 		is.NoErr(err)
 		is.Equal(size, len(packed))
-		is.Equal(m, listed(n))
+		is.Equal(m, endpointUpdate(n))
 	}
 }
 
-// Symptom: a VM dies for memory, or ends a link for good. Sequence: a packed frame is cut, holds
-// another packed one, or unpacks to more than any frame may have. Cause: what it says is believed.
+// Guards against a VM that runs out of memory or closes a link for good because it trusts a bad
+// packed frame: one that is cut short, holds another packed one, or unpacks to more than MaxPayload.
 func TestBadPackedFramesAreErrors(t *testing.T) {
 	is := is.New(t)
-	data, err := Append(nil, listed(350))
+	data, err := Append(nil, endpointUpdate(350))
 	is.NoErr(err)
 	packed := Pack(data)
 	cut := append([]byte(nil), packed[:len(packed)-9]...)
-	cut[2], cut[3] = byte((len(cut)-headSize)>>8), byte(len(cut)-headSize)
+	cut[2], cut[3] = byte((len(cut)-headerSize)>>8), byte(len(cut)-headerSize)
 	_, _, err = Read(bytes.NewReader(cut))
 	is.True(err != nil)
-	twice := Pack(append(append([]byte{0, 0, 0, 0}, byte(kindPacked)), bytes.Repeat([]byte{0}, 2*packFrom)...))
+	twice := Pack(append(append([]byte{0, 0, 0, 0}, byte(kindPacked)), bytes.Repeat([]byte{0}, 2*minPackSize)...))
 	_, _, err = Read(bytes.NewReader(twice))
 	is.True(errors.Is(err, ErrKind))
-	bomb := Pack(append(append([]byte{0, 0, 0, 0}, byte(kindListed)), make([]byte, Most+1)...))
+	bomb := Pack(append(append([]byte{0, 0, 0, 0}, byte(kindEndpointUpdate)), make([]byte, MaxPayload+1)...))
 	_, _, err = Read(bytes.NewReader(bomb))
 	is.True(errors.Is(err, ErrSize))
 }
--- a/internal/mesh/link/dial.go
+++ b/internal/mesh/link/dial.go
@@ -13,89 +13,91 @@
 	"dahliawinch/internal/mesh/frame"
 )
 
-// rest is the pause before the next dial; one that got no answer has waited already.
-func (s *sender) rest(pause time.Duration) time.Duration {
+// redialPause returns the pause before the next dial. It is short after an unanswered dial,
+// which has waited already.
+func (s *sender) redialPause(pause time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.silent > 0 {
-		return rand.N(redial / 2)
+	if s.unanswered > 0 {
+		return rand.N(minRedialPause / 2)
 	}
 	return pause/2 + rand.N(pause)
 }
 
-// open dials the peer.
-func (s *sender) open(ctx context.Context) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, s.dialWait())
+// dial opens a connection to the peer.
+func (s *sender) dial(ctx context.Context) (net.Conn, error) {
+	ctx, cancel := context.WithTimeout(ctx, s.dialTimeout())
 	defer cancel()
 	c, err := s.h.dial(ctx, s.to)
-	s.dialed(err)
+	s.recordDial(err)
 	return c, err
 }
 
-// dialWait is how long the next dial may take.
-func (s *sender) dialWait() time.Duration {
+// dialTimeout returns the timeout of the next dial.
+func (s *sender) dialTimeout() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return min(dialLeast<<max(0, s.silent-1), dialMost)
+	return min(minDialTimeout<<max(0, s.unanswered-1), maxDialTimeout)
 }
 
-// dialed takes in how a dial ended.
-func (s *sender) dialed(err error) {
+// recordDial records the result of a dial.
+func (s *sender) recordDial(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.closed = errors.Is(err, syscall.ECONNREFUSED)
-	if err == nil || s.closed {
-		s.silent = 0
+	s.dialRefused = errors.Is(err, syscall.ECONNREFUSED)
+	if err == nil || s.dialRefused {
+		s.unanswered = 0
 		return
 	}
-	s.silent = min(s.silent+1, mostSilent)
+	s.unanswered = min(s.unanswered+1, maxUnanswered)
 }
 
-// absent reports whether the peer's machine or process is not there, as the last dials show. A VM
-// that starts waits with its claims for the others of its domain; without this it waits a second
-// for one without power, and a played day with a loss of all VMs is worth 0.001 to 0.005 less.
+// absent reports whether, by the last dials, the peer's machine is down or its process does not run.
+// A starting VM holds back its claims until the others of its domain are heard. Without this check
+// it waits a second for one without power, which costs 0.001 to 0.005 of the score of a simulated
+// day with a loss of all VMs.
 func (s *sender) absent() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.closed || s.silent >= absentAfter
+	return s.dialRefused || s.unanswered >= absentDials
 }
 
-// refused reports whether the peer's machine has refused the last dial: no process listens there.
+// refused reports whether the peer's machine refused the last dial, so that no process listens there.
 func (s *sender) refused() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.closed
+	return s.dialRefused
 }
 
-// greet exchanges hellos and finds out what the peer has read already.
-func (s *sender) greet(c net.Conn, r *bufio.Reader) error {
-	if err := c.SetDeadline(time.Now().Add(helloWait)); err != nil {
-		return fmt.Errorf("greet %s: %w", s.to, err)
+// handshake exchanges Hello messages and learns how many messages the peer has already read.
+func (s *sender) handshake(c net.Conn, r *bufio.Reader) error {
+	if err := c.SetDeadline(time.Now().Add(helloTimeout)); err != nil {
+		return fmt.Errorf("handshake with %s: %w", s.to, err)
 	}
 	hello, err := frame.Append(nil, &s.h.self)
 	if err != nil {
-		return fmt.Errorf("greet %s: %w", s.to, err)
+		return fmt.Errorf("handshake with %s: %w", s.to, err)
 	}
 	if _, err := c.Write(hello); err != nil {
-		return fmt.Errorf("greet %s: %w", s.to, err)
+		return fmt.Errorf("handshake with %s: %w", s.to, err)
 	}
 	m, _, err := frame.Read(r)
 	if err != nil {
-		return fmt.Errorf("greet %s: %w", s.to, err)
+		return fmt.Errorf("handshake with %s: %w", s.to, err)
 	}
 	peer, ok := m.(*frame.Hello)
 	if !ok || peer.VM != s.to {
-		return fmt.Errorf("greet %s: %w", s.to, errStranger)
+		return fmt.Errorf("handshake with %s: %w", s.to, errWrongPeer)
 	}
-	seen, err := readCount(r)
+	count, err := readCount(r)
 	if err != nil {
-		return fmt.Errorf("greet %s: %w", s.to, err)
+		return fmt.Errorf("handshake with %s: %w", s.to, err)
 	}
 	if err := c.SetDeadline(time.Time{}); err != nil {
-		return fmt.Errorf("greet %s: %w", s.to, err)
+		return fmt.Errorf("handshake with %s: %w", s.to, err)
 	}
-	s.resume(c, peer.Inc, seen)
+	s.resume(c, peer.Inc, count)
 	return nil
 }
 
-var errStranger = errors.New("another VM answers there")
+var errWrongPeer = errors.New("another VM answers at the peer's address")
--- a/internal/mesh/link/hub.go
+++ b/internal/mesh/link/hub.go
@@ -1,6 +1,6 @@
-// Package link carries messages between entry VMs over TCP: each reliable message
-// arrives once and in order at the incarnation that it was meant for, or not at
-// all because that incarnation is gone.
+// Package link carries messages between entry VMs over TCP. Each reliable message
+// arrives exactly once and in order at the incarnation that it was sent to, or not
+// at all if that incarnation is gone.
 package link
 
 import (
@@ -18,61 +18,61 @@
 	"dahliawinch/internal/mesh/frame"
 )
 
-// Times of the links.
+// Timeouts and intervals of links.
 const (
-	// dialLeast and dialMost bound a dial. They are short, since one that began while the path
-	// was cut, or the peer had no power, is not answered later: the first packet is sent again
-	// only after a second. The bound doubles from the second dial without an answer on.
-	dialLeast = 60 * time.Millisecond
-	dialMost  = 500 * time.Millisecond
-	// mostSilent is up to how many dials without an answer are counted: enough for dialMost.
-	mostSilent = 5
-	// absentAfter is how many dials in a row without an answer show that a machine is not
-	// there: a lost packet is one.
-	absentAfter = 2
-	helloWait   = time.Second
-	writeWait   = time.Second
-	// ackEvery is how often a receiver says how far it has read.
-	ackEvery = 100 * time.Millisecond
-	// ackIdle is how often while it has read nothing new that must arrive, and ackWrite
-	// bounds the writing of one.
-	ackIdle  = 200 * time.Millisecond
-	ackWrite = 20 * time.Millisecond
-	// ackRest takes the place of ackIdle while the receiver's own messages reach the peer:
-	// they show as well that the path between the two works. With 75 VMs in a failure
-	// domain idle acknowledgements would be half of all messages. With the time to the next
-	// look it is 400 ms, and less than ackWait even if the messages were lost.
-	ackRest = 350 * time.Millisecond
-	// spokeLast is how long ago the receiver's own message may be for that: somewhat longer
-	// than the slowest heartbeats are apart.
-	spokeLast = 400 * time.Millisecond
-	// ackWait is how long a sender does without any word of the peer before it takes the
-	// connection for silent and opens a new one, and ackMost how long without an
-	// acknowledgement while the peer speaks over its own link: something on the way has
-	// forgotten this connection alone. An owner ends the jobs of a VM whose keepalives stay
-	// out for that long and half as long again.
-	ackWait = 500 * time.Millisecond
-	ackMost = ackRest + 3*ackEvery
-	// redial is the pause after a lost link; it doubles up to redialTop, and half of
-	// it is random, so that a healed partition is not met by all VMs at once.
-	redial    = 100 * time.Millisecond
-	redialTop = 300 * time.Millisecond
+	// minDialTimeout and maxDialTimeout bound the timeout of a dial, which doubles from the second
+	// unanswered dial on. They are short because TCP resends the first packet only after a second,
+	// too late for a path or a peer's power that came back meanwhile.
+	minDialTimeout = 60 * time.Millisecond
+	maxDialTimeout = 500 * time.Millisecond
+	// maxUnanswered caps the count of unanswered dials; it is enough to reach maxDialTimeout.
+	maxUnanswered = 5
+	// absentDials is the number of unanswered dials in a row after which a machine counts as
+	// absent. A single one may be a lost packet.
+	absentDials  = 2
+	helloTimeout = time.Second
+	writeTimeout = time.Second
+	// ackInterval is how often a receiver acknowledges what it has read.
+	ackInterval = 100 * time.Millisecond
+	// idleAckInterval is how often it does so while it has read no new reliable message, and
+	// ackWriteTimeout bounds the write of an acknowledgement.
+	idleAckInterval = 200 * time.Millisecond
+	ackWriteTimeout = 20 * time.Millisecond
+	// busyAckInterval replaces idleAckInterval while the receiver sends messages of its own to
+	// the peer, which also show that the path works. With 75 VMs in a failure domain, idle
+	// acknowledgements would be half of all messages. With the time to the next check it is
+	// 400 ms, less than silenceTimeout even if those messages are lost.
+	busyAckInterval = 350 * time.Millisecond
+	// busyWindow is how recent the receiver's last own message must be for that: a little
+	// longer than the longest interval between heartbeats.
+	busyWindow = 400 * time.Millisecond
+	// silenceTimeout is how long a sender waits without any message from the peer before it
+	// replaces the connection. ackTimeout is the same for acknowledgements alone, while the peer
+	// still sends over its own link: a device on the path may have dropped the state of this
+	// connection only. An owner ends the jobs of a VM whose keepalives are missing for 1.5 times
+	// that long.
+	silenceTimeout = 500 * time.Millisecond
+	ackTimeout     = busyAckInterval + 3*ackInterval
+	// minRedialPause is the pause after a lost link. It doubles up to maxRedialPause, with random
+	// jitter so that not all VMs dial at once when a partition heals.
+	minRedialPause = 100 * time.Millisecond
+	maxRedialPause = 300 * time.Millisecond
 )
 
-// Heal is how long after a path has healed a link over it is up at the latest, if both VMs
-// live and have time.
-const Heal = dialMost + redialTop*3/2
+// MaxReconnect is the longest time until a link is up again after its path has healed, if both
+// VMs are alive and not overloaded.
+const Heal = maxDialTimeout + maxRedialPause*3/2
 
-// mostKept bounds the bytes kept for one peer until they are acknowledged.
-const mostKept = 2 * frame.Most
+// maxKeptBytes bounds the unacknowledged bytes that are kept for one peer.
+const maxKeptBytes = 2 * frame.MaxPayload
 
-// ErrFull is returned for a message that can't be kept; it was not sent.
-var ErrFull = errors.New("too much waits for the peer")
+// ErrFull is returned for a message that was neither sent nor queued.
+var ErrFull = errors.New("no connection to the peer, or its queue is full")
 
 // Dialer opens a connection to a peer.
 type Dialer func(ctx context.Context, to netip.AddrPort) (net.Conn, error)
 
-// TCP dials plainly.
+// DialTCP is a Dialer for plain TCP.
 func TCP(ctx context.Context, to netip.AddrPort) (net.Conn, error) {
 	var d net.Dialer
 	c, err := d.DialContext(ctx, "tcp", to.String())
@@ -82,35 +82,35 @@
 	return c, nil
 }
 
-// Handler takes in messages; it is called for one message of a peer at a time.
+// Handler handles a received message. It is called for one message of a peer at a time.
 type Handler func(from frame.Hello, m frame.Msg)
 
-// Counter counts bytes by purpose and way.
+// Counter counts bytes by purpose and direction ("in" or "out").
 type Counter func(purpose, way string, n int)
 
 // Hub holds the links of one VM.
 type Hub struct {
-	self   frame.Hello
-	dial   Dialer
-	handle Handler
-	count  Counter
-	log    *slog.Logger
-	ctx    context.Context //nolint:containedctx // the life of the hub
-	began  time.Time
+	self    frame.Hello
+	dial    Dialer
+	handle  Handler
+	count   Counter
+	log     *slog.Logger
+	ctx     context.Context //nolint:containedctx // ends when the hub stops
+	started time.Time
 
-	mu  sync.Mutex
-	out map[netip.AddrPort]*sender
-	in  map[netip.AddrPort]*receiver
-	// heard are the connections that are read.
-	heard map[*inbound]bool
+	mu        sync.Mutex
+	senders   map[netip.AddrPort]*sender
+	receivers map[netip.AddrPort]*receiver
+	// inbounds are the open connections that peers have dialed.
+	inbounds map[*inbound]bool
 }
 
-// New returns a hub; Run serves it.
+// New returns a hub that works once Run is called.
 func New(self frame.Hello, dial Dialer, handle Handler, count Counter, log *slog.Logger) *Hub {
-	self.Counts = true
+	self.Extended = true
 	return &Hub{
-		self: self, dial: dial, handle: handle, count: count, log: log, began: time.Now(),
-		out: map[netip.AddrPort]*sender{}, in: map[netip.AddrPort]*receiver{}, heard: map[*inbound]bool{},
+		self: self, dial: dial, handle: handle, count: count, log: log, started: time.Now(),
+		senders: map[netip.AddrPort]*sender{}, receivers: map[netip.AddrPort]*receiver{}, inbounds: map[*inbound]bool{},
 	}
 }
 
@@ -124,7 +124,7 @@
 		<-ctx.Done()
 		return l.Close()
 	})
-	g.Go(func() error { return h.tend(ctx) })
+	g.Go(func() error { return h.maintain(ctx) })
 	g.Go(func() error {
 		for {
 			c, err := l.Accept()
@@ -157,10 +157,10 @@
 		return fmt.Errorf("cast to %s: %w", to, ErrFull)
 	}
 	h.count(frame.Purpose(m), "out", len(data))
-	return s.add(data, m)
+	return s.enqueue(data, m)
 }
 
-// Spread implements serve.Mesh: it codes the message once.
+// Spread implements serve.Mesh. It encodes the message once for all.
 func (h *Hub) Spread(to []netip.AddrPort, m frame.Msg) {
 	data, err := frame.Append(nil, m)
 	if err != nil {
@@ -170,50 +170,50 @@
 	packed := frame.Pack(data)
 	for _, vm := range to {
 		d := data
-		if h.understands(vm) {
+		if h.isExtended(vm) {
 			d = packed
 		}
 		h.count(frame.Purpose(m), "out", len(d))
 		if s := h.sender(vm); s != nil {
-			_ = s.add(d, m) // what may be lost is always taken
+			_ = s.enqueue(d, m) // an unreliable message is never rejected
 		}
 	}
 }
 
-// understands reports whether a peer has said that it reads what is packed.
-func (h *Hub) understands(vm netip.AddrPort) bool {
+// isExtended reports whether a peer has announced that it reads packed messages.
+func (h *Hub) isExtended(vm netip.AddrPort) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	r := h.in[vm]
-	return r != nil && r.from.Counts
+	r := h.receivers[vm]
+	return r != nil && r.from.Extended
 }
 
-// sender returns the sender to a VM; nil before the hub runs.
+// sender returns the sender to a VM, started if need be, or nil before the hub runs.
 func (h *Hub) sender(to netip.AddrPort) *sender {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	s := h.out[to]
+	s := h.senders[to]
 	if s == nil && h.ctx != nil {
 		s = newSender(h, to)
-		h.out[to] = s
+		h.senders[to] = s
 		go s.run(h.ctx)
 	}
 	return s
 }
 
-// spoken tells the sender to a VM that an incarnation of the VM has opened a link.
-func (h *Hub) spoken(from frame.Hello) {
+// peerOpened notifies the sender to a VM that an incarnation of that VM opened a link.
+func (h *Hub) peerOpened(from frame.Hello) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if s := h.out[from.VM]; s != nil {
-		s.spoken(from.Inc)
+	if s := h.senders[from.VM]; s != nil {
+		s.peerOpened(from.Inc)
 	}
 }
 
 // Absent implements serve.Mesh.
 func (h *Hub) Absent(vm netip.AddrPort) bool {
 	h.mu.Lock()
-	s := h.out[vm]
+	s := h.senders[vm]
 	h.mu.Unlock()
 	return s != nil && s.absent()
 }
@@ -221,7 +221,7 @@
 // Refused implements serve.Mesh.
 func (h *Hub) Refused(vm netip.AddrPort) bool {
 	h.mu.Lock()
-	s := h.out[vm]
+	s := h.senders[vm]
 	h.mu.Unlock()
 	return s != nil && s.refused()
 }
@@ -230,30 +230,30 @@
 func (h *Hub) Reach(ctx context.Context, vm netip.AddrPort) (uint64, error) {
 	s := h.sender(vm)
 	for s != nil {
-		if inc, ok := s.peer(); ok {
+		if inc, ok := s.connectedInc(); ok {
 			return inc, nil
 		}
-		s.poke()
+		s.notify()
 		select {
 		case <-ctx.Done():
 			return 0, fmt.Errorf("reach %s: %w", vm, ctx.Err())
-		case <-time.After(reachLook):
+		case <-time.After(reachPoll):
 		}
 	}
 	return 0, fmt.Errorf("reach %s: %w", vm, ErrFull)
 }
 
-// reachLook is how often Reach looks whether the link is up.
-const reachLook = 5 * time.Millisecond
+// reachPoll is how often Reach checks whether the link is up.
+const reachPoll = 5 * time.Millisecond
 
-// Flush waits until the peers that have a connection have read what was cast to
-// them, so that a process that ends takes no result with it.
+// Flush waits until all connected peers have acknowledged what was sent to them, so
+// that no result is lost when the process ends.
 func (h *Hub) Flush(ctx context.Context) error {
 	for {
 		h.mu.Lock()
 		kept := 0
-		for _, s := range h.out {
-			kept += s.unread()
+		for _, s := range h.senders {
+			kept += s.unacked()
 		}
 		h.mu.Unlock()
 		if kept == 0 {
@@ -262,32 +262,33 @@
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("flush %d messages: %w", kept, ctx.Err())
-		case <-time.After(ackEvery / 4):
+		case <-time.After(ackInterval / 4):
 		}
 	}
 }
 
-// Forget drops the sender of a VM that is no member any more.
+// Forget stops the sender to a VM that is no longer a member.
 func (h *Hub) Forget(vm netip.AddrPort) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if s := h.out[vm]; s != nil {
+	if s := h.senders[vm]; s != nil {
 		s.stop()
-		delete(h.out, vm)
+		delete(h.senders, vm)
 	}
 }
 
-// receiver returns what was read of an incarnation; a newer one starts afresh.
+// receiver returns the receiver for an incarnation, a new one if it is newer than the last
+// known, or nil if it is older.
 func (h *Hub) receiver(from frame.Hello) *receiver {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	r := h.in[from.VM]
+	r := h.receivers[from.VM]
 	if r == nil || r.from.Inc != from.Inc {
 		if r != nil && r.from.Inc > from.Inc {
-			return nil // a late connection of a process that was replaced
+			return nil // a late connection from a replaced process
 		}
 		r = &receiver{from: from}
-		h.in[from.VM] = r
+		h.receivers[from.VM] = r
 	}
 	return r
 }
--- a/internal/mesh/link/reborn_test.go
+++ b/internal/mesh/link/incarnation_test.go
@@ -12,14 +12,14 @@
 	"dahliawinch/internal/mesh/frame"
 )
 
-// lingering is a connection to a machine that has lost power: nothing says that it is of no use any more.
-type lingering struct {
+// hangingConn is a connection to a machine that has lost power: it reports no error until closed.
+type hangingConn struct {
 	net.Conn
 	once   sync.Once
 	closed chan struct{}
 }
 
-func (l *lingering) Read(b []byte) (int, error) {
+func (l *hangingConn) Read(b []byte) (int, error) {
 	n, err := l.Conn.Read(b)
 	if err != nil {
 		<-l.closed
@@ -27,39 +27,39 @@
 	return n, err
 }
 
-func (l *lingering) Write(b []byte) (int, error) {
-	_, _ = l.Conn.Write(b) // the other side may be gone
+func (l *hangingConn) Write(b []byte) (int, error) {
+	_, _ = l.Conn.Write(b) // the other end may be closed
 	return len(b), nil
 }
 
-func (l *lingering) Close() error {
+func (l *hangingConn) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return l.Conn.Close()
 }
 
-// Guards against messages that are accepted for a peer's new incarnation, and dropped with the connection to the
-// former one.
-func TestMessagesForANewIncarnationArriveOrAreRefused(t *testing.T) {
+// Guards against messages that are accepted for a peer's new incarnation and then dropped with the
+// connection to the former one.
+func TestNewIncarnationGetsOrRefusesMessages(t *testing.T) {
 	for name, m := range map[string]frame.Msg{"a job": &frame.Hand{}, "an answer": &frame.Took{}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			a := start(t, 1, "127.0.0.1:0")
+			a := startPeer(t, 1, "127.0.0.1:0")
 			dial := a.hub.dial
 			a.hub.dial = func(ctx context.Context, to netip.AddrPort) (net.Conn, error) {
 				c, err := dial(ctx, to)
 				if err != nil {
 					return nil, err
 				}
-				return &lingering{Conn: c, closed: make(chan struct{})}, nil
+				return &hangingConn{Conn: c, closed: make(chan struct{})}, nil
 			}
 			at := netip.AddrPort{}
 			t.Run("former", func(t *testing.T) {
-				b := start(t, 1, "127.0.0.1:0")
+				b := startPeer(t, 1, "127.0.0.1:0")
 				at = b.at
-				speak(t, a, at)
-				online(t, a, b)
+				sendHeartbeat(t, a, at)
+				waitOnline(t, a, b)
 			})
-			b := start(t, 2, at.String())
+			b := startPeer(t, 2, at.String())
 			arrived := make(chan struct{}, 1)
 			b.watch(func(_ frame.Hello, got frame.Msg) {
 				if frame.Reliable(got) {
@@ -71,7 +71,7 @@
 				a.watch(nil)
 				close(heard)
 			})
-			speak(t, b, a.at)
+			sendHeartbeat(t, b, a.at)
 			<-heard
 			err := a.hub.Cast(at, m)
 			if frame.Answering(m) {
--- a/internal/mesh/link/link_test.go
+++ b/internal/mesh/link/link_test.go
@@ -19,22 +19,22 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// flaky is a connection that can be made silent: writes succeed and go nowhere.
-type flaky struct {
+// flakyConn is a connection that can be made silent: writes succeed but send nothing.
+type flakyConn struct {
 	net.Conn
-	silent *atomic.Bool
-	got    *atomic.Int64 // bytes read
+	silent    *atomic.Bool
+	bytesRead *atomic.Int64 // bytes read
 }
 
-func (f *flaky) Read(b []byte) (int, error) {
+func (f *flakyConn) Read(b []byte) (int, error) {
 	n, err := f.Conn.Read(b)
-	f.got.Add(int64(n))
+	f.bytesRead.Add(int64(n))
 	return n, err
 }
 
-func (f *flaky) Write(b []byte) (int, error) {
+func (f *flakyConn) Write(b []byte) (int, error) {
 	if f.silent.Load() {
 		return len(b), nil
 	}
@@ -45,71 +45,71 @@
 	return n, nil
 }
 
-type side struct {
-	hub  *Hub
-	at   netip.AddrPort
-	mu   sync.Mutex
-	got  []uint64
-	conn []*flaky
-	also func(frame.Hello, frame.Msg) // sees all messages
+type peer struct {
+	hub     *Hub
+	at      netip.AddrPort
+	mu      sync.Mutex
+	groups  []uint64
+	conns   []*flakyConn
+	observe func(frame.Hello, frame.Msg) // called for every message
 }
 
-// watch calls a function for each message from now on.
-func (s *side) watch(fn func(frame.Hello, frame.Msg)) {
+// watch sets the function that is called for every message from now on.
+func (s *peer) watch(fn func(frame.Hello, frame.Msg)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.also = fn
+	s.observe = fn
 }
 
-func (s *side) handle(from frame.Hello, m frame.Msg) {
+func (s *peer) handle(from frame.Hello, m frame.Msg) {
 	s.mu.Lock()
-	also := s.also
+	observe := s.observe
 	s.mu.Unlock()
-	if also != nil {
-		also(from, m)
+	if observe != nil {
+		observe(from, m)
 	}
 	if t, ok := m.(*frame.Took); ok {
 		s.mu.Lock()
-		s.got = append(s.got, t.Group)
+		s.groups = append(s.groups, t.Group)
 		s.mu.Unlock()
 	}
 }
 
-func (s *side) count() int {
+func (s *peer) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.got)
+	return len(s.groups)
 }
 
-// breakAll treats every connection dialed so far.
-func (s *side) breakAll(fn func(*flaky)) {
+// eachConn calls fn for each connection dialed since the last call.
+func (s *peer) eachConn(fn func(*flakyConn)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, c := range s.conn {
+	for _, c := range s.conns {
 		fn(c)
 	}
-	s.conn = nil
+	s.conns = nil
 }
 
-func start(t *testing.T, inc uint64, at string) *side {
+func startPeer(t *testing.T, inc uint64, at string) *peer {
 	t.Helper()
 	l, err := net.Listen("tcp", at)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &side{at: l.Addr().(*net.TCPAddr).AddrPort()}
+	s := &peer{at: l.Addr().(*net.TCPAddr).AddrPort()}
 	dial := func(ctx context.Context, to netip.AddrPort) (net.Conn, error) {
 		c, err := TCP(ctx, to)
 		if err != nil {
 			return nil, err
 		}
-		f := &flaky{c, &atomic.Bool{}, &atomic.Int64{}}
+		f := &flakyConn{c, &atomic.Bool{}, &atomic.Int64{}}
 		s.mu.Lock()
-		s.conn = append(s.conn, f)
+		s.conns = append(s.conns, f)
 		s.mu.Unlock()
 		return f, nil
 	}
-	s.hub = New(frame.Hello{VM: s.at, Inc: inc}, dial, s.handle, func(string, string, int) {}, quiet)
+	s.hub = New(frame.Hello{VM: s.at, Inc: inc}, dial, s.handle, func(string, string, int) {}, discardLog)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- s.hub.Run(ctx, l) }()
@@ -133,58 +133,58 @@
 	t.Fatalf("never: %s", what)
 }
 
-func online(t *testing.T, a, b *side) {
+func waitOnline(t *testing.T, a, b *peer) {
 	t.Helper()
 	eventually(t, "a link", func() bool {
 		return a.hub.Cast(b.at, &frame.Have{}) == nil
 	})
 }
 
-func exactlyOnce(t *testing.T, s *side, n int) {
+func exactlyOnce(t *testing.T, s *peer, n int) {
 	t.Helper()
 	eventually(t, "all messages", func() bool { return s.count() >= n })
-	time.Sleep(2 * ackEvery) // a second copy would come now
+	time.Sleep(2 * ackInterval) // a second copy would come now
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	is := is.New(t)
-	is.Equal(len(s.got), n)
-	for i, g := range s.got {
+	is.Equal(len(s.groups), n)
+	for i, g := range s.groups {
 		is.Equal(g, uint64(i))
 	}
 }
 
-// Symptom: jobs end as unknown, or a result is taken in twice, though both VMs
-// live. Sequence: the connection breaks again and again while messages flow.
-// Cause: what was on its way is lost, or sent again without being told apart.
+// Guards against jobs that end as unknown, or results that are counted twice, although
+// both VMs are alive: the connection breaks repeatedly, and messages in transit are lost,
+// or sent again and not recognized as duplicates.
 func TestEachMessageOnceOverBrokenConnections(t *testing.T) {
-	a, b := start(t, 1, "127.0.0.1:0"), start(t, 1, "127.0.0.1:0")
+	a, b := startPeer(t, 1, "127.0.0.1:0"), startPeer(t, 1, "127.0.0.1:0")
 	_ = a.hub.Cast(b.at, &frame.Beat{})
-	online(t, a, b)
+	waitOnline(t, a, b)
 	for i := range 2000 {
 		if err := a.hub.Cast(b.at, &frame.Took{Group: uint64(i)}); err != nil {
 			t.Fatal(err)
 		}
 		if i%400 == 200 {
-			a.breakAll(func(f *flaky) { _ = f.Close() })
+			a.eachConn(func(f *flakyConn) { _ = f.Close() })
 		}
 	}
 	exactlyOnce(t, b, 2000)
 }
 
-// Symptom: two VMs that both live hear nothing of each other for minutes.
-// Sequence: something between them forgets the connection; writes succeed and go
-// nowhere. Cause: without word from the peer nobody opens a new connection.
+// Guards against two live VMs that receive nothing from each other for minutes: a device
+// between them drops the connection's state, writes still succeed, and the silence of the
+// peer does not lead to a new connection.
 func TestSilentConnectionIsReplaced(t *testing.T) {
-	a, b := start(t, 1, "127.0.0.1:0"), start(t, 1, "127.0.0.1:0")
+	a, b := startPeer(t, 1, "127.0.0.1:0"), startPeer(t, 1, "127.0.0.1:0")
 	_ = a.hub.Cast(b.at, &frame.Beat{})
-	online(t, a, b)
+	waitOnline(t, a, b)
 	for i := range 100 {
 		if i == 50 {
 			b.hub.mu.Lock()
-			rec := b.hub.in[a.at]
+			rec := b.hub.receivers[a.at]
 			b.hub.mu.Unlock()
 			rec.conns.Add(1) // the acknowledgements stop as well
-			a.breakAll(func(f *flaky) { f.silent.Store(true) })
+			a.eachConn(func(f *flakyConn) { f.silent.Store(true) })
 		}
 		if err := a.hub.Cast(b.at, &frame.Took{Group: uint64(i)}); err != nil {
 			t.Fatal(err)
@@ -193,128 +193,126 @@
 	exactlyOnce(t, b, 100)
 }
 
-// Symptom: a restarted VM runs work that was given to its former process.
-// Sequence: work waits for a connection, the VM restarts, the connection comes
-// up. Cause: what was kept for the old incarnation is sent to the new one.
-func TestNewIncarnationGetsNothingOfTheOld(t *testing.T) {
+// Guards against a restarted VM that runs work meant for its former process: messages that
+// were queued for the old incarnation are sent to the new one.
+func TestNewIncarnationGetsNoOldMessages(t *testing.T) {
 	is := is.New(t)
-	a := start(t, 1, "127.0.0.1:0")
+	a := startPeer(t, 1, "127.0.0.1:0")
 	var at netip.AddrPort
 	t.Run("first process", func(t *testing.T) {
-		b := start(t, 1, "127.0.0.1:0")
+		b := startPeer(t, 1, "127.0.0.1:0")
 		at = b.at
 		_ = a.hub.Cast(b.at, &frame.Beat{})
-		online(t, a, b)
+		waitOnline(t, a, b)
 	})
 	eventually(t, "the link to fail", func() bool { return a.hub.Cast(at, &frame.Have{}) != nil })
-	is.NoErr(a.hub.Cast(at, &frame.Took{Group: 99})) // an answer, kept for the old one
-	b := start(t, 2, at.String())
+	is.NoErr(a.hub.Cast(at, &frame.Took{Group: 99})) // an answer, queued for the old incarnation
+	b := startPeer(t, 2, at.String())
 	_ = a.hub.Cast(at, &frame.Beat{})
-	online(t, a, b)
+	waitOnline(t, a, b)
 	is.NoErr(a.hub.Cast(at, &frame.Took{Group: 0}))
 	exactlyOnce(t, b, 1)
 }
 
-// converse lets two VMs send each other heartbeats for a while.
-func converse(a, b *side, d time.Duration) {
+// exchangeHeartbeats makes two VMs send each other heartbeats for a duration.
+func exchangeHeartbeats(a, b *peer, d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		_ = a.hub.Cast(b.at, &frame.Beat{})
 		_ = b.hub.Cast(a.at, &frame.Beat{})
 	}
 }
 
-// dialed is how many connections a side opened, and what it read of the last.
-func (s *side) dialed() (n int, got int64) {
+// dialed returns how many connections a peer has opened, and the bytes read from the last.
+func (s *peer) dialed() (n int, got int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.conn), s.conn[len(s.conn)-1].got.Load()
+	return len(s.conns), s.conns[len(s.conns)-1].bytesRead.Load()
 }
 
-// Symptom: with 300 VMs each spends a tenth of a core on control. Sequence: every link is
-// acknowledged five times a second in each direction though nothing was sent that must
-// arrive. Cause: acknowledgements show that the path works, which the heartbeats of the
-// other direction show as well.
+// Guards against too many acknowledgements: with 300 VMs each spent a tenth of a core on control
+// traffic. Every link was acknowledged five times a second in each direction without any reliable
+// message, to show that the path works, which the heartbeats of the other direction show as well.
 func TestIdleLinksAreSeldomAcknowledged(t *testing.T) {
 	is := is.New(t)
-	a, b := start(t, 1, "127.0.0.1:0"), start(t, 1, "127.0.0.1:0")
-	converse(a, b, 500*time.Millisecond)
+	a, b := startPeer(t, 1, "127.0.0.1:0"), startPeer(t, 1, "127.0.0.1:0")
+	exchangeHeartbeats(a, b, 500*time.Millisecond)
 	_, before := a.dialed()
-	converse(a, b, 2*time.Second)
+	exchangeHeartbeats(a, b, 2*time.Second)
 	n, after := a.dialed()
-	is.Equal(n, 1)                 // the connection is not taken for silent
-	is.True((after-before)/8 <= 6) // 5 in 2 s; it was 10
+	is.Equal(n, 1)                 // the connection did not count as silent
+	is.True((after-before)/8 <= 6) // 5 in 2 s, against 10 without the longer interval
 }
 
-// Symptom: two of five messages among 300 VMs are acknowledgements. Sequence: heartbeats go both ways
-// between two VMs, each on a connection of its own; nothing else is sent. Cause: each connection is
-// acknowledged by itself, though a heartbeat of the other direction goes out at the same time.
+// Guards against acknowledgements being two of five messages among 300 VMs: two VMs send only
+// heartbeats, each on its own connection, and each connection is acknowledged separately although a
+// heartbeat in the other direction could carry the acknowledgement.
 func TestHeartbeatsCarryAcknowledgements(t *testing.T) {
 	is := is.New(t)
-	a, b := start(t, 1, "127.0.0.1:0"), start(t, 1, "127.0.0.1:0")
-	converse(a, b, 500*time.Millisecond)
+	a, b := startPeer(t, 1, "127.0.0.1:0"), startPeer(t, 1, "127.0.0.1:0")
+	exchangeHeartbeats(a, b, 500*time.Millisecond)
 	_, before := a.dialed()
-	for range 10 { // as seldom as in large fleets
-		converse(a, b, 50*time.Millisecond)
+	for range 10 { // as rarely as in large deployments
+		exchangeHeartbeats(a, b, 50*time.Millisecond)
 		time.Sleep(200 * time.Millisecond)
 	}
 	n, after := a.dialed()
-	is.Equal(n, 1)                 // the connection is not taken for silent
-	is.True((after-before)/8 <= 2) // one if a heartbeat is late; each 0.4 s without
+	is.Equal(n, 1)                 // the connection did not count as silent
+	is.True((after-before)/8 <= 2) // one if a heartbeat is late; without Ack, one each 0.4 s
 }
 
-// Symptom: a VM stops the jobs of one that lives. Sequence: something between them forgets
-// one of their two connections; the peer's heartbeats still come over the other. Cause:
-// the peer is heard, so nobody opens a new connection in time.
-func TestForgottenConnectionIsReplacedInTime(t *testing.T) {
+// Guards against a VM that stops the jobs of a live peer: a device between them drops the state
+// of one of their two connections, and it is not replaced in time because the peer's heartbeats
+// still arrive over the other.
+func TestDeadConnectionIsReplacedInTime(t *testing.T) {
 	is := is.New(t)
-	a, b := start(t, 1, "127.0.0.1:0"), start(t, 1, "127.0.0.1:0")
-	converse(a, b, 500*time.Millisecond)
-	forget(a, b)
-	converse(a, b, 900*time.Millisecond)
+	a, b := startPeer(t, 1, "127.0.0.1:0"), startPeer(t, 1, "127.0.0.1:0")
+	exchangeHeartbeats(a, b, 500*time.Millisecond)
+	dropTraffic(a, b)
+	exchangeHeartbeats(a, b, 900*time.Millisecond)
 	n, _ := a.dialed()
 	is.Equal(n, 2)
 }
 
-// forget makes the connection from one VM to another swallow what is sent, both ways.
-func forget(from, to *side) {
+// dropTraffic makes the connection from one VM to another lose what is sent, in both directions.
+func dropTraffic(from, to *peer) {
 	to.hub.mu.Lock()
-	to.hub.in[from.at].conns.Add(1) // the acknowledgements stop as well
+	to.hub.receivers[from.at].conns.Add(1) // the acknowledgements stop as well
 	to.hub.mu.Unlock()
 	from.mu.Lock()
-	from.conn[0].silent.Store(true)
+	from.conns[0].silent.Store(true)
 	from.mu.Unlock()
 }
 
-// Symptom: both links between two VMs go down though only one was harmed, and jobs given
-// over the other are turned away. Sequence: something forgets the connection over which the
-// peer speaks; on the healthy one it acknowledges seldom, since it believes to be heard.
-// Cause: acknowledgements come no sooner than silence is declared.
-func TestForgottenConnectionTakesNoOtherWithIt(t *testing.T) {
+// Guards against both links between two VMs going down when only one is dead, so that jobs
+// sent over the other are refused. The peer believes that its heartbeats arrive, so it
+// acknowledges rarely on the healthy link, which then counts as silent before an
+// acknowledgement comes.
+func TestDeadConnectionLeavesOtherUp(t *testing.T) {
 	is := is.New(t)
 	for range 3 {
-		a, b := start(t, 1, "127.0.0.1:0"), start(t, 1, "127.0.0.1:0")
-		converse(a, b, 500*time.Millisecond)
-		forget(b, a)
-		converse(a, b, 1500*time.Millisecond)
+		a, b := startPeer(t, 1, "127.0.0.1:0"), startPeer(t, 1, "127.0.0.1:0")
+		exchangeHeartbeats(a, b, 500*time.Millisecond)
+		dropTraffic(b, a)
+		exchangeHeartbeats(a, b, 1500*time.Millisecond)
 		n, _ := a.dialed()
-		is.Equal(n, 1) // its own link stayed
+		is.Equal(n, 1) // its own link stayed up
 		n, _ = b.dialed()
 		is.Equal(n, 2)
 	}
 }
 
-// speak sends a heartbeat, once the hub runs.
-func speak(t *testing.T, from *side, to netip.AddrPort) {
+// sendHeartbeat sends a heartbeat once the hub runs.
+func sendHeartbeat(t *testing.T, from *peer, to netip.AddrPort) {
 	t.Helper()
 	eventually(t, "the hub to run", func() bool { return from.hub.Cast(to, &frame.Beat{}) == nil })
 }
 
-// Symptom: after a loss of all VMs the first to start hears the others 0.4 s after they have
-// started. Sequence: it dials one whose machine has no power yet; the machine gets power, and
-// would answer a new dial. Cause: the dial that hangs is waited for.
-func TestDialThatHangsIsSoonTriedAnew(t *testing.T) {
+// Guards against slow discovery after a loss of all VMs: the first VM to start received messages
+// from the others only 0.4 s after their start. Its dial to a machine without power hangs, and it
+// waits for it although the machine now has power and would answer a new dial.
+func TestHungDialIsRetriedSoon(t *testing.T) {
 	is := is.New(t)
-	a, b := start(t, 1, "127.0.0.1:0"), start(t, 1, "127.0.0.1:0")
+	a, b := startPeer(t, 1, "127.0.0.1:0"), startPeer(t, 1, "127.0.0.1:0")
 	dial, hung, freed := a.hub.dial, make(chan time.Time, 1), make(chan time.Time, 1)
 	first := true
 	a.hub.dial = func(ctx context.Context, to netip.AddrPort) (net.Conn, error) {
@@ -327,17 +325,17 @@
 		freed <- time.Now()
 		return nil, ctx.Err()
 	}
-	speak(t, a, b.at)
-	is.True((<-freed).Sub(<-hung) < dialMost/2)
-	online(t, a, b)
+	sendHeartbeat(t, a, b.at)
+	is.True((<-freed).Sub(<-hung) < maxDialTimeout/2)
+	waitOnline(t, a, b)
 }
 
-// Symptom: after a loss of all VMs the first to start waits a second for a neighbour that has
-// no power. Sequence: its dials get no answer, or are refused. Cause: it can't tell a machine
-// that is away from one that is slow to answer; a single lost packet must not do.
-func TestMachineThatDoesNotAnswerIsAbsent(t *testing.T) {
+// Guards against a needless wait after a loss of all VMs: the first VM to start waits a second for
+// a neighbour without power, because it can't tell an absent machine from a slow one when its
+// dials are unanswered or refused. A single lost packet must not make a machine absent.
+func TestUnansweringMachineIsAbsent(t *testing.T) {
 	is := is.New(t)
-	a := start(t, 1, "127.0.0.1:0")
+	a := startPeer(t, 1, "127.0.0.1:0")
 	var dials atomic.Int64
 	a.hub.dial = func(ctx context.Context, _ netip.AddrPort) (net.Conn, error) {
 		dials.Add(1)
@@ -346,13 +344,13 @@
 	}
 	to := netip.MustParseAddrPort("127.0.0.1:9")
 	is.True(!a.hub.Absent(to))
-	speak(t, a, to)
+	sendHeartbeat(t, a, to)
 	eventually(t, "the peer to be absent", func() bool { return a.hub.Absent(to) })
-	is.True(dials.Load() >= absentAfter)
+	is.True(dials.Load() >= absentDials)
 	is.True(!a.hub.Refused(to)) // nothing has answered
-	b, dead := start(t, 1, "127.0.0.1:0"), netip.AddrPort{}
-	t.Run("a process that ends", func(t *testing.T) { dead = start(t, 1, "127.0.0.1:0").at })
-	speak(t, b, dead)
+	b, dead := startPeer(t, 1, "127.0.0.1:0"), netip.AddrPort{}
+	t.Run("a process that ends", func(t *testing.T) { dead = startPeer(t, 1, "127.0.0.1:0").at })
+	sendHeartbeat(t, b, dead)
 	eventually(t, "the ended process to be absent", func() bool { return b.hub.Absent(dead) })
 	is.True(b.hub.Refused(dead))
 }
--- a/internal/mesh/link/receiver.go
+++ b/internal/mesh/link/receiver.go
@@ -13,72 +13,72 @@
 	"dahliawinch/internal/mesh/frame"
 )
 
-// receiver counts what was read of one incarnation of a peer, over all its
+// receiver counts the messages read from one incarnation of a peer, over all its
 // connections.
 type receiver struct {
-	from  frame.Hello
-	mu    sync.Mutex // one connection of the peer at a time
-	conns atomic.Uint64
-	seen  atomic.Uint64
-	word  atomic.Int64 // when the last message was read, by the hub's clock
-	all   atomic.Uint64
-	// What the peer was last told with a message of this VM's: the messages read by then, of these
-	// the ones that must arrive, and when.
-	toldAll, toldSeen atomic.Uint64
-	toldAt            atomic.Int64
+	from     frame.Hello
+	mu       sync.Mutex    // held while a connection of the peer is served: one at a time
+	conns    atomic.Uint64 // connections opened so far; only the newest is read
+	reliable atomic.Uint64 // reliable messages read
+	lastRead atomic.Int64  // time of the last read message, by the hub's clock
+	total    atomic.Uint64 // messages read
+	// The last acknowledgement sent along with this VM's own messages: all messages read by then,
+	// the reliable ones among them, and when.
+	ackedTotal, ackedReliable atomic.Uint64
+	ackedAt                   atomic.Int64
 }
 
-// ride adds what was read of a peer to what is about to be written to it.
+// appendAck appends an Ack to the messages that are about to be written to a peer.
 //
-// What goes wrong without it: each of two VMs acknowledges the other's heartbeats two or three times
-// a second on the connection that they came by, and at 300 VMs that is two of five messages. Where
-// both send heartbeats each tells with its own how far it has read. It does so only if it has read
-// something since it last did: the peer takes it for a sign that its own connection works.
-func (h *Hub) ride(buf []byte, to netip.AddrPort) []byte {
+// Without it, two VMs that send each other heartbeats also acknowledge them two or three times a
+// second on the connections that they arrive on: two of five messages at 300 VMs. An Ack is added only
+// if something was read since the last one, because the peer takes it as proof that its own connection
+// works.
+func (h *Hub) appendAck(buf []byte, to netip.AddrPort) []byte {
 	h.mu.Lock()
-	r := h.in[to]
+	r := h.receivers[to]
 	h.mu.Unlock()
-	if r == nil || !r.from.Counts {
+	if r == nil || !r.from.Extended {
 		return buf
 	}
-	all := r.all.Load()
-	if r.toldAll.Swap(all) == all {
+	total := r.total.Load()
+	if r.ackedTotal.Swap(total) == total {
 		return buf
 	}
-	m := frame.Seen{Inc: r.from.Inc, Count: r.seen.Load()}
-	longer, err := frame.Append(buf, &m)
+	m := frame.Ack{Inc: r.from.Inc, Count: r.reliable.Load()}
+	withAck, err := frame.Append(buf, &m)
 	if err != nil {
 		h.log.Error("message not sent", "kind", frame.Purpose(&m), "err", err)
 		return buf
 	}
-	r.toldSeen.Store(m.Count)
-	r.toldAt.Store(int64(h.clock()))
-	return longer
+	r.ackedReliable.Store(m.Count)
+	r.ackedAt.Store(int64(h.clock()))
+	return withAck
 }
 
-// counted takes in what a peer has read of this VM.
-func (h *Hub) counted(from frame.Hello, m *frame.Seen) {
+// handleAck applies an Ack from a peer to the sender to that peer.
+func (h *Hub) handleAck(from frame.Hello, m *frame.Ack) {
 	h.mu.Lock()
-	s := h.out[from.VM]
+	s := h.senders[from.VM]
 	h.mu.Unlock()
 	if s != nil && m.Inc == h.self.Inc {
-		s.counted(from.Inc, m.Count)
+		s.handleAck(from.Inc, m.Count)
 	}
 }
 
-// readBytes is the buffer of a connection: some forty heartbeats. One of 64 KB for each of 67 peers
-// was 4.3 of 5.4 MB of all that a VM held among 97 (heap profile of a played day).
-const readBytes = 4 << 10
+// readBufferSize is the read buffer of a connection in bytes, about forty heartbeats. With 64 KB, the
+// buffers for 67 peers were 4.3 of the 5.4 MB heap of one of 97 VMs (heap profile of a simulated day).
+const readBufferSize = 4 << 10
 
 // serve reads one connection that a peer opened.
 func (h *Hub) serve(ctx context.Context, c net.Conn) {
 	defer c.Close() //nolint:errcheck // it is given up anyway
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	defer stop()
-	if c.SetDeadline(time.Now().Add(helloWait)) != nil {
+	if c.SetDeadline(time.Now().Add(helloTimeout)) != nil {
 		return
 	}
-	r := bufio.NewReaderSize(c, readBytes)
+	r := bufio.NewReaderSize(c, readBufferSize)
 	m, _, err := frame.Read(r)
 	if err != nil {
 		h.log.Debug("link refused", "remote", c.RemoteAddr(), "err", err)
@@ -92,75 +92,76 @@
 	if rec == nil {
 		return
 	}
-	h.spoken(*from)
+	h.peerOpened(*from)
 	nth := rec.conns.Add(1)
-	rec.mu.Lock() // the older connection of the peer ends first
+	rec.mu.Lock() // wait for the peer's older connection to end
 	defer rec.mu.Unlock()
 	hello, err := frame.Append(nil, &h.self)
 	if err != nil {
 		return
 	}
-	if _, err := c.Write(binary.BigEndian.AppendUint64(hello, rec.seen.Load())); err != nil {
+	if _, err := c.Write(binary.BigEndian.AppendUint64(hello, rec.reliable.Load())); err != nil {
 		return
 	}
 	if c.SetDeadline(time.Time{}) != nil {
 		return
 	}
-	h.follow(&inbound{c: c, rec: rec, nth: nth})
-	h.listen(r, rec, nth)
+	h.addInbound(&inbound{c: c, rec: rec, nth: nth})
+	h.readMessages(r, rec, nth)
 }
 
-// inbound is a connection whose peer waits for acknowledgements.
+// inbound is a connection that a peer opened and on which it expects acknowledgements.
 type inbound struct {
-	c    net.Conn
-	rec  *receiver
-	nth  uint64
-	told uint64        // what was last acknowledged
-	at   time.Duration // and when, by the hub's clock
+	c       net.Conn
+	rec     *receiver
+	nth     uint64
+	acked   uint64        // number of reliable messages in the last acknowledgement
+	ackedAt time.Duration // when that was sent, by the hub's clock
 }
 
-func (h *Hub) follow(i *inbound) {
+func (h *Hub) addInbound(i *inbound) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.heard[i] = true
+	h.inbounds[i] = true
 }
 
-// ack tells a peer how far it was read, also when nothing came: the peer takes a
-// connection without any word for silent. False if the connection is of no use any more.
-func (i *inbound) ack(wall time.Time, now, idle time.Duration) bool {
+// sendAck sends an acknowledgement if one is due, now and then even if nothing new was read,
+// because the peer replaces a connection without any. It returns false if the connection is no
+// longer usable.
+func (i *inbound) sendAck(wall time.Time, now, idle time.Duration) bool {
 	if i.rec.conns.Load() != i.nth {
-		return false // a newer connection took over
+		return false // replaced by a newer connection
 	}
-	seen := i.rec.seen.Load()
-	told, at := max(i.told, i.rec.toldSeen.Load()), max(i.at, time.Duration(i.rec.toldAt.Load()))
-	if seen == told && now-at < idle {
+	reliable := i.rec.reliable.Load()
+	acked, ackedAt := max(i.acked, i.rec.ackedReliable.Load()), max(i.ackedAt, time.Duration(i.rec.ackedAt.Load()))
+	if reliable == acked && now-ackedAt < idle {
 		return true
 	}
-	// Acknowledgements are eight bytes: one that finds no room goes to a peer that has not
-	// read thousands.
-	if i.c.SetWriteDeadline(wall.Add(ackWrite)) != nil {
+	// An acknowledgement is eight bytes: if the send buffer is full, the peer has left
+	// thousands of them unread.
+	if i.c.SetWriteDeadline(wall.Add(ackWriteTimeout)) != nil {
 		return false
 	}
-	_, err := i.c.Write(binary.BigEndian.AppendUint64(nil, seen))
-	i.told, i.at = seen, now
+	_, err := i.c.Write(binary.BigEndian.AppendUint64(nil, reliable))
+	i.acked, i.ackedAt = reliable, now
 	return err == nil
 }
 
-func (h *Hub) listen(r *bufio.Reader, rec *receiver, nth uint64) {
+func (h *Hub) readMessages(r *bufio.Reader, rec *receiver, nth uint64) {
 	for rec.conns.Load() == nth {
 		m, n, err := frame.Read(r)
 		if err != nil {
 			return
 		}
 		h.count(frame.Purpose(m), "in", n)
-		rec.word.Store(int64(h.clock()))
-		if seen, ok := m.(*frame.Seen); ok {
-			h.counted(rec.from, seen)
+		rec.lastRead.Store(int64(h.clock()))
+		if ack, ok := m.(*frame.Ack); ok {
+			h.handleAck(rec.from, ack)
 			continue
 		}
-		rec.all.Add(1)
+		rec.total.Add(1)
 		if frame.Reliable(m) {
-			rec.seen.Add(1)
+			rec.reliable.Add(1)
 		}
 		h.handle(rec.from, m)
 	}
--- a/internal/mesh/link/sender.go
+++ b/internal/mesh/link/sender.go
@@ -15,99 +15,97 @@
 	"dahliawinch/internal/mesh/frame"
 )
 
-// sender keeps what was cast to one peer until the peer has read it.
+// sender sends messages to one peer. Reliable frames are kept until acknowledged and
+// sent again on the next connection; the peer counts them, so none is handled twice.
 //
-// What goes wrong without it: a connection between two VMs goes silent, work or
-// results that were on their way are lost, and jobs end as unknown although both
-// VMs live. One notices unknown outcomes beside healthy members. Reliable frames
-// are kept until acknowledged and sent again on the next connection; the peer
-// counts them, so none is taken in twice.
+// Without this, work or results in transit are lost when a connection goes silent, and
+// jobs end as unknown although both VMs are alive and healthy.
 type sender struct {
-	h    *Hub
-	to   netip.AddrPort
-	wake chan struct{}
-	back chan struct{} // the peer has spoken: no reason to wait with a new connection
-	done chan struct{}
-	once sync.Once
+	h      *Hub
+	to     netip.AddrPort
+	wake   chan struct{}
+	peerUp chan struct{} // the peer has opened a link: dial again at once
+	done   chan struct{}
+	once   sync.Once
 
-	mu     sync.Mutex
-	inc    uint64   // the peer's incarnation that the kept frames are for
-	acked  uint64   // reliable frames that the peer has read
-	kept   [][]byte // reliable frames after acked
-	next   int      // index in kept of the first not sent on this connection
-	loose  [][]byte // frames that may be lost
-	bytes  int
-	online bool
-	conn   net.Conn
-	silent int           // dials in a row that got no answer
-	closed bool          // the last dial was refused: the machine is there and the process is not
-	word   time.Duration // when the last acknowledgement came on this connection, by the hub's clock
+	mu          sync.Mutex
+	inc         uint64   // the peer's incarnation that the kept frames are for
+	acked       uint64   // number of reliable frames that the peer has read
+	kept        [][]byte // reliable frames that are not acknowledged yet
+	next        int      // index in kept of the first frame not sent on this connection
+	unreliable  [][]byte // frames that may be lost
+	keptBytes   int
+	online      bool
+	conn        net.Conn
+	unanswered  int           // unanswered dials in a row
+	dialRefused bool          // the last dial was refused: the machine is up, the process does not run
+	lastAck     time.Duration // time of the last acknowledgement for this connection, by the hub's clock
 
-	wrote atomic.Int64 // when something was written last, by the hub's clock
+	lastWrite atomic.Int64 // time of the last write, by the hub's clock
 }
 
-// mostLoose is how many frames that may be lost wait for a connection to write.
-const mostLoose = 16
+// maxUnreliable is the number of unreliable frames that are queued for an open connection.
+const maxUnreliable = 16
 
 func newSender(h *Hub, to netip.AddrPort) *sender {
-	return &sender{h: h, to: to, wake: make(chan struct{}, 1), back: make(chan struct{}, 1), done: make(chan struct{})}
+	return &sender{h: h, to: to, wake: make(chan struct{}, 1), peerUp: make(chan struct{}, 1), done: make(chan struct{})}
 }
 
 func (s *sender) stop() { s.once.Do(func() { close(s.done) }) }
 
-func (s *sender) add(data []byte, m frame.Msg) error {
+func (s *sender) enqueue(data []byte, m frame.Msg) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !frame.Reliable(m) {
 		switch {
-		case !s.online: // the newest is what a peer that comes back should hear first
-			s.loose = append(s.loose[:0], data)
-		case len(s.loose) < mostLoose:
-			s.loose = append(s.loose, data)
+		case !s.online: // a peer that comes back needs only the newest
+			s.unreliable = append(s.unreliable[:0], data)
+		case len(s.unreliable) < maxUnreliable:
+			s.unreliable = append(s.unreliable, data)
 		}
-		s.poke()
+		s.notify()
 		return nil
 	}
 	keep := s.online || s.inc != 0 && frame.Answering(m)
-	if s.bytes+len(data) > mostKept || !keep {
-		s.poke() // the next one may find a connection
+	if s.keptBytes+len(data) > maxKeptBytes || !keep {
+		s.notify() // connect for the next message
 		return fmt.Errorf("cast to %s: %w", s.to, ErrFull)
 	}
 	s.kept = append(s.kept, data)
-	s.bytes += len(data)
-	s.poke()
+	s.keptBytes += len(data)
+	s.notify()
 	return nil
 }
 
-func (s *sender) poke() {
+func (s *sender) notify() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// spoken ends the pause before a new connection: a partition has healed, and until
-// this VM's own link is up it can send the peer nothing though it hears it. A connection to a former
-// incarnation is given up.
+// peerOpened ends the pause before the next dial when the peer has opened a link: a partition has
+// healed, and this VM can receive from the peer but not send to it until its own link is up. It also
+// drops a connection to a former incarnation.
 //
-// What goes wrong without that: a machine loses power and starts again before its connections count as silent.
-// What is cast to the new process is kept for the old one, and dropped once the new connection is up. One notices
-// jobs that end at their deadline, of an owner that never took them.
-func (s *sender) spoken(inc uint64) {
+// Without that, if a machine loses power and restarts before its connections count as silent, messages
+// for the new process are queued for the old one and dropped when the new connection is up. Jobs
+// then run into their deadline because their owner never received them.
+func (s *sender) peerOpened(inc uint64) {
 	s.mu.Lock()
 	if s.inc != 0 && inc > s.inc {
-		s.forget(inc)
+		s.reset(inc)
 	}
 	s.mu.Unlock()
 	select {
-	case s.back <- struct{}{}:
+	case s.peerUp <- struct{}{}:
 	default:
 	}
 }
 
-// run holds a connection to the peer while there is something to say.
+// run connects to the peer when there is something to send, and again after each lost connection.
 func (s *sender) run(ctx context.Context) {
-	pause := redial
+	pause := minRedialPause
 	for {
 		select {
 		case <-ctx.Done():
@@ -116,7 +114,7 @@
 			return
 		case <-s.wake:
 		}
-		began := time.Now()
+		started := time.Now()
 		err := s.connect(ctx)
 		s.mu.Lock()
 		s.online, s.conn = false, nil
@@ -125,24 +123,24 @@
 			return
 		}
 		s.h.log.Debug("link down", "to", s.to, "err", err)
-		if time.Since(began) > redialTop {
-			pause = redial // it had worked
+		if time.Since(started) > maxRedialPause {
+			pause = minRedialPause // the connection had worked
 		}
-		t := time.NewTimer(s.rest(pause))
+		t := time.NewTimer(s.redialPause(pause))
 		select {
 		case <-t.C:
-		case <-s.back:
-			pause = redial
+		case <-s.peerUp:
+			pause = minRedialPause
 		case <-ctx.Done():
 		}
 		t.Stop()
-		pause = min(2*pause, redialTop)
-		s.poke()
+		pause = min(2*pause, maxRedialPause)
+		s.notify()
 	}
 }
 
 func (s *sender) connect(ctx context.Context) error {
-	c, err := s.open(ctx)
+	c, err := s.dial(ctx)
 	if err != nil {
 		return err
 	}
@@ -150,7 +148,7 @@
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	defer stop()
 	r := bufio.NewReader(c)
-	if err := s.greet(c, r); err != nil {
+	if err := s.handshake(c, r); err != nil {
 		return err
 	}
 	acks := make(chan error, 1)
@@ -158,13 +156,13 @@
 	for {
 		buf := s.batch()
 		if len(buf) > 0 {
-			if err := c.SetWriteDeadline(time.Now().Add(writeWait)); err != nil {
+			if err := c.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 				return fmt.Errorf("link to %s: %w", s.to, err)
 			}
-			if _, err := c.Write(s.h.ride(buf, s.to)); err != nil {
+			if _, err := c.Write(s.h.appendAck(buf, s.to)); err != nil {
 				return fmt.Errorf("link to %s: %w", s.to, err)
 			}
-			s.wrote.Store(int64(s.h.clock()))
+			s.lastWrite.Store(int64(s.h.clock()))
 			continue
 		}
 		select {
@@ -179,33 +177,33 @@
 	}
 }
 
-// resume drops what the peer has read, or all of it for a new incarnation: what
-// was meant for the old one must not reach the new one.
-func (s *sender) resume(c net.Conn, inc, seen uint64) {
+// resume starts sending on a new connection. It drops the frames that the peer has read, or all
+// if the peer is a new incarnation, which must not get messages for the old one.
+func (s *sender) resume(c net.Conn, inc, count uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if inc != s.inc {
-		s.inc, s.acked, s.kept, s.bytes = inc, seen, nil, 0
+		s.inc, s.acked, s.kept, s.keptBytes = inc, count, nil, 0
 	}
-	s.trim(seen)
+	s.trim(count)
 	s.next = 0
 	s.online, s.conn = true, c
-	s.word = s.h.clock()
+	s.lastAck = s.h.clock()
 }
 
-// forget drops what was meant for a former incarnation, and the connection to it; the caller holds the lock.
-func (s *sender) forget(inc uint64) {
-	s.inc, s.acked, s.kept, s.bytes, s.next = inc, 0, nil, 0, 0
+// reset drops the frames for a former incarnation and the connection to it. The caller holds s.mu.
+func (s *sender) reset(inc uint64) {
+	s.inc, s.acked, s.kept, s.keptBytes, s.next = inc, 0, nil, 0, 0
 	if s.conn != nil {
-		_ = s.conn.Close() // whoever reads and writes it sees that
+		_ = s.conn.Close() // its reader and writer fail and stop
 	}
 	s.conn, s.online = nil, false
 }
 
-// trim forgets frames up to a count; the caller holds the lock.
-func (s *sender) trim(seen uint64) {
-	for s.acked < seen && len(s.kept) > 0 {
-		s.bytes -= len(s.kept[0])
+// trim drops the kept frames that are among the first count reliable ones. The caller holds s.mu.
+func (s *sender) trim(count uint64) {
+	for s.acked < count && len(s.kept) > 0 {
+		s.keptBytes -= len(s.kept[0])
 		s.kept[0] = nil
 		s.kept = s.kept[1:]
 		s.acked++
@@ -213,15 +211,15 @@
 	}
 }
 
-// peer returns the incarnation at the other end of an open connection.
-func (s *sender) peer() (inc uint64, ok bool) {
+// connectedInc returns the peer's incarnation and whether a connection to it is open.
+func (s *sender) connectedInc() (inc uint64, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.inc, s.online
 }
 
-// unread counts what a connected peer has not read yet.
-func (s *sender) unread() int {
+// unacked returns how many reliable frames a connected peer has not acknowledged.
+func (s *sender) unacked() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.online {
@@ -230,7 +228,7 @@
 	return len(s.kept)
 }
 
-// batch takes what can be written now.
+// batch returns the frames that can be written now, as one buffer.
 func (s *sender) batch() (buf []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -238,53 +236,53 @@
 		buf = append(buf, data...)
 	}
 	s.next = len(s.kept)
-	for _, data := range s.loose {
+	for _, data := range s.unreliable {
 		buf = append(buf, data...)
 	}
-	s.loose = nil
+	s.unreliable = nil
 	return buf
 }
 
-// counted takes in that an incarnation of the peer has read messages lately, and how many that must
-// arrive.
-func (s *sender) counted(inc, seen uint64) {
+// handleAck records that an incarnation of the peer has read messages lately, and how many reliable
+// ones in all.
+func (s *sender) handleAck(inc, count uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.online && inc == s.inc {
-		s.word = s.h.clock()
-		s.trim(seen)
+		s.lastAck = s.h.clock()
+		s.trim(count)
 	}
 }
 
-// readAcks trims as the peer reads on.
+// readAcks reads acknowledgements and drops the frames that they cover.
 func (s *sender) readAcks(r *bufio.Reader) error {
 	for {
-		seen, err := readCount(r)
+		count, err := readCount(r)
 		if err != nil {
 			return fmt.Errorf("link to %s: %w", s.to, err)
 		}
 		s.mu.Lock()
-		s.word = s.h.clock()
-		s.trim(seen)
+		s.lastAck = s.h.clock()
+		s.trim(count)
 		s.mu.Unlock()
 	}
 }
 
-// look ends the connection if it is silent: the peer says nothing on any connection, or
-// nothing on this one for long.
-func (s *sender) look(now time.Duration, w word) {
+// closeIfSilent closes the connection if the peer has sent nothing on any connection for
+// silenceTimeout, or no acknowledgement for ackTimeout.
+func (s *sender) closeIfSilent(now time.Duration, last lastMessage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.online {
 		return
 	}
-	said := s.word
-	if w.inc == s.inc {
-		said = max(said, w.at)
+	heard := s.lastAck
+	if last.inc == s.inc {
+		heard = max(heard, last.at)
 	}
-	if now-said > ackWait || now-s.word > ackMost {
-		s.h.log.Debug("link silent", "to", s.to, "unacknowledged", now-s.word)
-		_ = s.conn.Close() // whoever reads and writes it sees that
+	if now-heard > silenceTimeout || now-s.lastAck > ackTimeout {
+		s.h.log.Debug("link silent", "to", s.to, "unacknowledged", now-s.lastAck)
+		_ = s.conn.Close() // its reader and writer fail and stop
 		s.conn, s.online = nil, false
 	}
 }
