--- a/internal/task/batch/batch.go
+++ b/internal/task/batch/batch.go
@@ -1,5 +1,5 @@
-// Package batch has jobs whose tasks run under leases on endpoints that pack them by
-// cores and memory, as opposed to package job, whose tasks each take a slot.
+// Package batch defines jobs whose tasks run under leases on endpoints that pack them by
+// cores and memory. Tasks of package job take a slot each instead.
 package batch
 
 import (
@@ -12,54 +12,53 @@
 )
 
 const (
-	// mostSteps bounds the steps of one job, so that a small body can't ask for a
+	// maxSteps bounds the steps of one job, so that a small body can't cause a
 	// large amount of bookkeeping.
-	mostSteps = 64
-	// mostTasks bounds the tasks of one job; the largest jobs that are planned for
-	// have 520.
-	mostTasks = 1024
+	maxSteps = 64
+	// maxTasks bounds the tasks of one job; the largest expected jobs have 520.
+	maxTasks = 1024
 )
 
 // Job is a submission whose caller waits until it has ended.
 type Job struct {
-	ID       string        `msgpack:"i"` // the caller's own, repeated when it submits again
+	ID       string        `msgpack:"i"` // chosen by the caller; the same on resubmission
 	Spec     string        `msgpack:"x,omitempty"`
-	Queue    string        `msgpack:"q"` // jobs of one queue run alike
+	Queue    string        `msgpack:"q"` // jobs of one queue have similar run times
 	Pool     string        `msgpack:"p"` // the endpoints that may run it
-	Rank     int           `msgpack:"r"` // 0 goes first
-	Attempts int           `msgpack:"a"` // failed runs of one task that fail the job
-	Stretch  float64       `msgpack:"f"` // latency objective: this times the work,
-	Slack    time.Duration `msgpack:"s"` // and so much more
-	Left     time.Duration `msgpack:"l"` // until the answer is of no use
+	Rank     int           `msgpack:"r"` // 0 is served first
+	Attempts int           `msgpack:"a"` // failed runs of one task after which the job fails
+	Stretch  float64       `msgpack:"f"` // latency objective: this multiple of the work
+	Slack    time.Duration `msgpack:"s"` // plus this much
+	Left     time.Duration `msgpack:"l"` // until the answer is useless
 	Age      time.Duration `msgpack:"g,omitempty"`
-	Waited   time.Duration `msgpack:"w,omitempty"` // elsewhere, before it came to us
-	// Asked is when the VM that answers the caller asked for the job, at the earliest, by the clock of the VM
-	// that runs it; zero at the VM itself.
+	Waited   time.Duration `msgpack:"w,omitempty"` // at other VMs, before it arrived here
+	// AskedAt is the earliest time at which the VM that answers the caller may have sent the job, by the clock
+	// of the VM that runs it; zero at the sending VM.
 	Asked time.Time `msgpack:"z,omitempty"`
 	Steps []Step    `msgpack:"t"`
 }
 
-// Step is a number of like tasks that start together once the steps before it are done.
+// Step is a group of identical tasks that start together once the steps in After are done.
 type Step struct {
 	Count  int           `msgpack:"c"`
 	Need   job.Size      `msgpack:"n"`
-	Run    time.Duration `msgpack:"r,omitempty"` // declared, often far off; 0 if unknown
+	Run    time.Duration `msgpack:"r,omitempty"` // declared run time, often far off; 0 if unknown
 	After  []int         `msgpack:"a,omitempty"`
-	Label  string        `msgpack:"l,omitempty"` // that the endpoint must have
-	Near   string        `msgpack:"k,omitempty"` // rack that holds its data
-	Spread int           `msgpack:"s,omitempty"` // most tasks on one endpoint; 0 for any number
-	Gang   bool          `msgpack:"g,omitempty"` // works only while all its tasks run
-	Close  bool          `msgpack:"h,omitempty"` // slow unless all run on one rack
+	Label  string        `msgpack:"l,omitempty"` // required of the endpoint
+	Near   string        `msgpack:"k,omitempty"` // rack that stores its data
+	Spread int           `msgpack:"s,omitempty"` // max tasks per endpoint; 0 for any number
+	Gang   bool          `msgpack:"g,omitempty"` // makes progress only while all its tasks run
+	Close  bool          `msgpack:"h,omitempty"` // slow unless all tasks run on one rack
 }
 
-// Task names one task of a job.
+// Task identifies one task of a job.
 type Task struct {
 	Job   string
 	Step  int
 	Index int
 }
 
-// String is the task's name, the same at every VM.
+// String returns the task's name, which is the same on every VM.
 func (t Task) String() string {
 	b := make([]byte, 0, len(t.Job)+12)
 	b = append(b, t.Job...)
@@ -70,22 +69,22 @@
 	return string(b)
 }
 
-// ErrInvalid marks a job that can't be run as it is written.
+// ErrInvalid is returned for a job that can't be run as specified.
 var ErrInvalid = errors.New("invalid job")
 
 func invalid(format string, args ...any) error {
 	return fmt.Errorf("%w: "+format, append([]any{ErrInvalid}, args...)...)
 }
 
-// Check names the first field that makes the job impossible and how to mend it.
+// Check returns an error that names the first invalid field and how to correct it.
 func (j *Job) Check() error {
-	if len(j.Steps) == 0 || len(j.Steps) > mostSteps {
-		return invalid("steps: %d; send 1 to %d", len(j.Steps), mostSteps)
+	if len(j.Steps) == 0 || len(j.Steps) > maxSteps {
+		return invalid("steps: %d; send 1 to %d", len(j.Steps), maxSteps)
 	}
 	tasks := 0
 	for i, s := range j.Steps {
-		if s.Count < 1 || s.Count > mostTasks {
-			return invalid("steps[%d].count: %d; use 1 to %d", i, s.Count, mostTasks)
+		if s.Count < 1 || s.Count > maxTasks {
+			return invalid("steps[%d].count: %d; use 1 to %d", i, s.Count, maxTasks)
 		}
 		if s.Need.Cores < 0 || s.Need.Memory < 0 || s.Need.Accels < 0 || s.Spread < 0 || s.Run < 0 {
 			return invalid("steps[%d]: a negative number; leave it out if nothing is needed", i)
@@ -97,34 +96,34 @@
 		}
 		tasks += s.Count
 	}
-	if tasks > mostTasks {
-		return invalid("steps: %d tasks; send at most %d", tasks, mostTasks)
+	if tasks > maxTasks {
+		return invalid("steps: %d tasks; send at most %d", tasks, maxTasks)
 	}
 	return nil
 }
 
-// Chain is the job's longest chain of work, if each task of a step takes as long as said.
-func (j *Job) Chain(takes func(*Step) time.Duration) time.Duration {
+// CriticalPath returns the length of the job's longest chain of steps, given each step's duration.
+func (j *Job) Chain(duration func(*Step) time.Duration) time.Duration {
 	ends := make([]time.Duration, len(j.Steps))
-	var most time.Duration
+	var longest time.Duration
 	for i := range j.Steps {
 		s := &j.Steps[i]
-		var from time.Duration
+		var start time.Duration
 		for _, k := range s.After {
-			from = max(from, ends[k])
+			start = max(start, ends[k])
 		}
-		ends[i] = from + takes(s)
-		most = max(most, ends[i])
+		ends[i] = start + duration(s)
+		longest = max(longest, ends[i])
 	}
-	return most
+	return longest
 }
 
-// Aim is the latency objective of a job whose longest chain of work is so long.
+// Objective returns the latency objective of a job whose critical path takes the given time.
 func (j *Job) Aim(work time.Duration) time.Duration {
 	return time.Duration(j.Stretch*float64(work)) + j.Slack
 }
 
-// Tasks is the number of tasks of all steps.
+// Tasks returns the number of tasks of all steps.
 func (j *Job) Tasks() (n int) {
 	for i := range j.Steps {
 		n += j.Steps[i].Count
--- a/internal/task/job/evidence.go
+++ b/internal/task/job/evidence.go
@@ -1,16 +1,16 @@
 package job
 
-// Evidence is what is known about the tasks of one job.
+// Evidence counts what is known about the tasks of one job.
 type Evidence struct {
-	Answered int // an endpoint said that it ran, well or badly
-	Silent   int // sent, and nothing is known
-	Sent     int // sent and still awaited
+	Answered int // an endpoint reported that it ran and ended
+	Silent   int // sent, and the outcome is not known
+	Sent     int // sent, answer pending
 }
 
-// Outcome of a job that is given up on now.
+// Outcome returns the outcome of a job that is abandoned now.
 //
-// The danger is a "not run" that is a lie: only when no task was answered, is
-// awaited or went silent can nothing have started.
+// Refused promises that nothing ran, so it is returned only when no task was
+// answered, is pending or went silent.
 func (e Evidence) Outcome() Outcome {
 	switch {
 	case e.Answered > 0:
--- a/internal/task/job/job.go
+++ b/internal/task/job/job.go
@@ -1,5 +1,5 @@
-// Package job has the words that all parts of a request's path share: what a
-// caller asks for and what it is told.
+// Package job defines the types shared along a request's path: what a caller
+// submits and what it is answered.
 package job
 
 import (
@@ -12,7 +12,7 @@
 // Band is the scheduling rank of a class; a lower band never waits behind a higher one.
 type Band uint8
 
-// The bands, most pressing first.
+// The bands, most urgent first.
 const (
 	Urgent Band = iota
 	Routine
@@ -62,18 +62,18 @@
 	Body []byte        `msgpack:"b,omitempty"`
 }
 
-// Request is a submission: tasks that are answered together or not at all.
+// Request is a submission of tasks that are answered together or not at all.
 type Request struct {
 	Tenant string        `msgpack:"t"`
 	Class  string        `msgpack:"c"`
-	Kind   string        `msgpack:"k"` // groups tasks of like run time
+	Kind   string        `msgpack:"k"` // groups tasks of similar run time
 	Ticket string        `msgpack:"i,omitempty"`
-	Left   time.Duration `msgpack:"l,omitempty"` // time until the answer is of no use
-	Grant  int           `msgpack:"g,omitempty"` // tickets wanted with the answer
+	Left   time.Duration `msgpack:"l,omitempty"` // time left until the answer is useless
+	Grant  int           `msgpack:"g,omitempty"` // number of tickets to issue with the answer
 	Tasks  []Task        `msgpack:"x"`
 }
 
-// Bytes is the memory that the request's bodies hold.
+// Bytes returns the total size of the task bodies.
 func (r *Request) Bytes() int64 {
 	var n int64
 	for i := range r.Tasks {
@@ -82,16 +82,16 @@
 	return n
 }
 
-// Outcome is what became of a submission.
+// Outcome is the result of a submission.
 type Outcome uint8
 
-// The four outcomes. Unknown is never worded as Refused: a caller told "refused"
-// may submit again at once, a caller told "unknown" must ask after its ticket.
+// The four outcomes. Unknown must never be reported as Refused: after "refused" a caller
+// may submit again at once, after "unknown" it must query its ticket.
 const (
 	Unknown Outcome = iota // a start can't be excluded
-	Done                   // every task ran and every result is here
+	Done                   // every task ran and all results are present
 	Refused                // nothing started, and that is certain
-	Failed                 // some task started; nothing partial is handed out
+	Failed                 // some task started; no partial results are returned
 )
 
 var outcomeNames = [...]string{"unknown", "done", "refused", "failed"}
@@ -103,7 +103,7 @@
 	return outcomeNames[o]
 }
 
-// ParseOutcome reads an outcome's name.
+// ParseOutcome returns the outcome with the given name.
 func ParseOutcome(s string) (Outcome, error) {
 	for i, name := range outcomeNames {
 		if name == s {
@@ -113,13 +113,13 @@
 	return Unknown, fmt.Errorf("outcome %q is not one of %s", s, strings.Join(outcomeNames[:], ", "))
 }
 
-// Reason says in one word why a submission was not done.
+// Reason is a one-word code for why a submission was not done.
 type Reason string
 
 // The reasons, each with what a caller can do about it in docs/CALLERS.md.
 const (
 	NoReason    Reason = ""
-	BadRequest  Reason = "request"   // malformed; mend it
+	BadRequest  Reason = "request"   // malformed; the caller must correct it
 	BadKey      Reason = "key"       // key missing or wrong
 	BadTicket   Reason = "ticket"    // forged, of another tenant, or malformed
 	Impossible  Reason = "size"      // more than any endpoint has, or over a limit
@@ -127,46 +127,46 @@
 	Paused      Reason = "paused"    // the operators paused the tenant
 	Overload    Reason = "overload"  // it would not finish in time
 	Deadline    Reason = "deadline"  // its time ran out
-	Canceled    Reason = "cancelled" // the caller cancelled or hung up
+	Canceled    Reason = "cancelled" // the caller cancelled or disconnected
 	TaskFailed  Reason = "task"      // a task ran and failed
-	Silent      Reason = "silent"    // an endpoint or VM went silent after a send
+	Silent      Reason = "silent"    // an endpoint or VM stopped answering after a send
 	NoEndpoint  Reason = "endpoint"  // none is reachable
 	NoDocument  Reason = "document"  // no configuration is known yet
-	Leaving     Reason = "leaving"   // this VM is going away
+	Leaving     Reason = "leaving"   // this VM is shutting down
 	GoneTicket  Reason = "gone"      // the ticket's VM can't be reached
 	NotHeld     Reason = "held"      // it ran, and its answer is no longer held
 	StillRuns   Reason = "running"   // the same submission is still running
-	Withdrawn   Reason = "withdrawn" // its ticket was asked after before its use
+	Withdrawn   Reason = "withdrawn" // its ticket was queried before its use
 	OutOfBudget Reason = "retries"   // too many refused attempts
 	NoQueue     Reason = "queue"     // no such queue is declared
 	Unsupported Reason = "kind"      // this kind of job is not served here
 )
 
-// Answer is the whole answer to one submission.
+// Answer is the complete answer to one submission.
 type Answer struct {
 	Outcome Outcome       `msgpack:"o"`
 	Reason  Reason        `msgpack:"r,omitempty"`
 	Detail  string        `msgpack:"d,omitempty"`
-	Retry   time.Duration `msgpack:"w,omitempty"` // when to come back; 0 if it makes no sense
+	Retry   time.Duration `msgpack:"w,omitempty"` // when to retry; 0 if retrying is useless
 	Results [][]byte      `msgpack:"x,omitempty"`
 	Grant   string        `msgpack:"g,omitempty"`
 	Tickets int           `msgpack:"n,omitempty"`
 }
 
-// Refuse builds the answer for work of which nothing started.
+// Refuse returns an answer with outcome Refused, for work of which nothing started.
 func Refuse(why Reason, retry time.Duration, format string, args ...any) *Answer {
 	return &Answer{Outcome: Refused, Reason: why, Retry: retry, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Doubt builds the answer for work whose start can't be excluded.
+// UnknownAnswer returns an answer with outcome Unknown, for work that may have started.
 func Doubt(why Reason, format string, args ...any) *Answer {
 	return &Answer{Outcome: Unknown, Reason: why, Detail: fmt.Sprintf(format, args...)}
 }
 
-// ErrPartial is returned for an answer that claims to be done but lacks results.
+// ErrPartial is returned for a done answer that lacks results.
 var ErrPartial = errors.New("answer lacks results")
 
-// Whole checks that a done answer has one result for each of n tasks.
+// CheckComplete checks that a done answer has one result for each of n tasks.
 func (a *Answer) Whole(n int) error {
 	if a.Outcome == Done && len(a.Results) != n {
 		return fmt.Errorf("%d results for %d tasks: %w", len(a.Results), n, ErrPartial)
--- a/internal/task/lease/lease.go
+++ b/internal/task/lease/lease.go
@@ -1,10 +1,10 @@
-// Package lease is the life of a run on a leased endpoint, as its one owner sees it:
-// starts, stops, ends, and when a run that nobody hears of has surely ended.
+// Package lease tracks the runs of tasks on a leased endpoint for the endpoint's owner:
+// starts, stops, ends, and when a run whose end was not reported has certainly ended.
 //
-// Everything on an endpoint shares one lease that the owner renews. A run is only over
-// when its end was listed, its endpoint has lost all it ran, a stop of it was confirmed
-// and it is not listed any more, a later owner has found nothing running there, or the
-// last lease that was asked for has run out. Before that another run of the task could overlap it.
+// All runs on an endpoint share one lease that the owner renews. A run is over only if
+// one of these holds: its end was listed; its endpoint lost all runs; its stop was
+// confirmed and it is no longer listed; a later owner found nothing running there; or the
+// last requested lease expired. Before that, another run of the task could overlap it.
 package lease
 
 import (
@@ -17,72 +17,72 @@
 	"dahliawinch/internal/task/job"
 )
 
-// Info is what the platform's list says of an endpoint.
+// Info describes an endpoint as the platform lists it.
 type Info struct {
-	ID     string // of this life; a restarted endpoint has another
+	ID     string // of this incarnation; changes with each restart
 	Addr   netip.AddrPort
 	Domain string
 	Pool   string
-	Labels []string // the rack is one of them
+	Labels []string // including the rack
 	Size   job.Size
 	Drains bool
-	Cold   time.Duration // slow for so much longer after its start
+	Cold   time.Duration // remaining time of slow runs after its start
 }
 
-// Same reports whether another word on the endpoint says the same; how long it stays
-// slow passes by itself.
+// Same reports whether o describes the endpoint identically. Cold is not compared,
+// since it shrinks with time.
 func (in Info) Same(o Info) bool {
 	return in.ID == o.ID && in.Addr == o.Addr && in.Domain == o.Domain && in.Pool == o.Pool && in.Size == o.Size &&
 		in.Drains == o.Drains && slices.Equal(in.Labels, o.Labels)
 }
 
-// Stage of a run.
+// Stage is the stage of a run.
 type Stage uint8
 
 // The stages.
 const (
-	Sent     Stage = iota // the start has no answer yet
+	Sent     Stage = iota // the start is unanswered
 	On                    // the endpoint confirmed it
-	Stopping              // it must end: stopped, or its start got no answer
-	Over                  // it has surely ended, or surely never began
+	Stopping              // it must end: it was stopped, or its start got no answer
+	Over                  // it has certainly ended, or never began
 )
 
-// How a run ended.
+// EndState says how a run ended.
 type How uint8
 
 // The ends of a run.
 const (
 	Done   How = iota
-	Failed     // through its own fault or the endpoint's
-	Gone       // stopped, lapsed, or broken off with its endpoint; it may run again
+	Failed     // the task or the endpoint failed
+	Gone       // stopped, lease expired, or endpoint lost; it may run again
 	Never      // it did not begin
 	Died       // lost with its endpoint, which it may have crashed; it may run again
 )
 
-var howNames = [...]string{"done", "failed", "gone", "never", "died"}
+var endStateNames = [...]string{"done", "failed", "gone", "never", "died"}
 
-func (h How) String() string { return howNames[h] }
+func (h How) String() string { return endStateNames[h] }
 
 // Run is one start of a task on an endpoint.
 type Run struct {
 	Task    batch.Task
 	Name    string
-	Num     int // rises with each start of the task
+	Num     int // increases with each start of the task
 	Need    job.Size
 	Stage   Stage
 	At      time.Time // when the start was sent
-	Percent int       // of its work, as last listed
-	Judged  bool      // its speed was taken into its endpoint's health
+	Percent int       // progress, as last listed
+	Judged  bool      // its speed is recorded in its endpoint's health
 	Seen    time.Time // when it was last listed or confirmed
-	Job     Job       // whose it is
+	Job     Job       // the job it belongs to
 	Step    int
 
-	stopped time.Time // when a stop was confirmed
+	stoppedAt time.Time // when a stop was confirmed
 }
 
-// Job is what runs are started for.
+// Job is the job that a run belongs to.
 type Job interface {
-	// By is when the job's runs must have ended, by what is known now; it never moves back.
+	// EndBy returns the time by which the job's runs must have ended, as known now. It never moves back.
 	By() time.Time
 }
 
@@ -93,7 +93,7 @@
 	Percent int
 }
 
-// Ended is an ended run in an endpoint's answer.
+// Ended is a finished run in an endpoint's answer.
 type Ended struct {
 	Serial int64
 	Name   string
@@ -101,45 +101,45 @@
 	How    How
 }
 
-// Report is an endpoint's answer to a renewal.
+// Report is an endpoint's answer to a lease renewal.
 type Report struct {
 	Clock   int64 // the endpoint's clock, milliseconds
 	Running []Listed
 	Ended   []Ended
 }
 
-// Name of a run.
+// RunID identifies a run.
 type Name struct {
 	Task string
 	Num  int
 }
 
-// Endpoint is one leased endpoint with what its owner runs there.
+// Endpoint is a leased endpoint with the runs that its owner started there.
 type Endpoint struct {
 	Info
-	Fence  uint64 // orders carry it; a higher one takes the endpoint away
-	Cursor int64  // ends up to it are taken note of
+	Fence  uint64 // sent with each order; the endpoint obeys the owner with the highest
+	Cursor int64  // serial of the last end that was applied
 	Used   job.Size
 	Runs   map[Name]*Run
-	Known  bool // its answers are taken in; before that nothing is started
-	Taken  bool // before it was known, it listed runs or ends of a former owner
-	Silent bool // the last renewals got no answer
-	Missed int  // renewals in a row that got none
-
-	limits  Limits
-	clock   int64     // the endpoint's clock
-	at      time.Time // when it was read
-	lapse   time.Time // by then nothing here lives that was not renewed since
-	owed    bool      // ends were listed that no renewal has confirmed
-	orphans map[Name]time.Time
+	Known  bool // an answer was applied and no orphans are left; nothing starts before
+	Taken  bool // before Synced, it listed runs or ends of a former owner
+	Silent bool // the last renewals were unanswered
+	Missed int  // unanswered renewals in a row
+
+	limits      Limits
+	clock       int64     // the endpoint's clock
+	clockAt     time.Time // when clock was read
+	leaseEnd    time.Time // end of the last requested lease, by the owner's clock
+	unackedEnds bool      // ends were listed that no renewal has acknowledged
+	orphans     map[Name]time.Time
 }
 
-// New returns an endpoint of which nothing is known yet.
+// New returns an endpoint that has not answered yet.
 func New(in Info, fence uint64, limits Limits) *Endpoint {
 	return &Endpoint{Info: in, Fence: fence, limits: limits, Runs: map[Name]*Run{}, orphans: map[Name]time.Time{}}
 }
 
-// Free is what can be placed here.
+// Free returns the unused capacity.
 func (e *Endpoint) Free() job.Size {
 	return job.Size{Cores: e.Size.Cores - e.Used.Cores, Memory: e.Size.Memory - e.Used.Memory, Accels: e.Size.Accels - e.Used.Accels}
 }
@@ -147,12 +147,12 @@
 // Open reports whether tasks may be started here.
 func (e *Endpoint) Open() bool { return e.Known && !e.Silent && !e.Drains }
 
-// Idle reports whether nothing here needs a renewal.
+// Idle reports whether the lease needs no renewal.
 func (e *Endpoint) Idle() bool {
-	return e.Known && !e.Silent && len(e.Runs) == 0 && len(e.orphans) == 0 && !e.owed
+	return e.Known && !e.Silent && len(e.Runs) == 0 && len(e.orphans) == 0 && !e.unackedEnds
 }
 
-// Start reserves the room of a run; it is over when it ends or never began.
+// Start adds a run and reserves its capacity until the run is over.
 func (e *Endpoint) Start(now time.Time, t batch.Task, num int, need job.Size) *Run {
 	r := &Run{Task: t, Name: t.String(), Num: num, Need: need, At: now, Seen: now, Step: t.Step}
 	e.Runs[Name{r.Name, num}] = r
@@ -162,36 +162,36 @@
 	return r
 }
 
-// Until returns the lease to ask for, on the endpoint's clock in milliseconds, or 0 for none: it ends before any
-// run must that is here.
+// RenewUntil returns the end of the lease to request, in milliseconds of the endpoint's clock, or 0 for none.
+// The lease ends before the EndBy of any run here.
 func (e *Endpoint) Until(now time.Time) int64 {
-	ask := e.ask(now)
-	if ask <= 0 {
+	lease := e.maxLease(now)
+	if lease <= 0 {
 		return 0
 	}
-	e.lapse = timer.Later(e.lapse, now.Add(lasts(ask)))
-	ran := time.Duration(float64(now.Sub(e.at)) * (1 - drift)) // its clock may be slow: never ask for more
-	return e.clock + (ran + ask).Milliseconds()
+	e.leaseEnd = timer.Later(e.leaseEnd, now.Add(maxDuration(lease)))
+	elapsed := time.Duration(float64(now.Sub(e.clockAt)) * (1 - clockDrift)) // its clock may be slow, so assume the least
+	return e.clock + (elapsed + lease).Milliseconds()
 }
 
-// ask is the longest lease that ends before any run here must.
-func (e *Endpoint) ask(now time.Time) time.Duration {
-	ask := e.limits.Lease()
+// maxLease returns the longest lease that ends before the EndBy of any run here.
+func (e *Endpoint) maxLease(now time.Time) time.Duration {
+	lease := e.limits.Lease()
 	for _, r := range e.Runs {
 		if r.Job != nil {
-			ask = min(ask, leaseWithin(r.Job.By().Sub(now)))
+			lease = min(lease, leaseWithin(r.Job.By().Sub(now)))
 		}
 	}
-	return ask
+	return lease
 }
 
-// Leasable reports whether a job's run may begin here: no lease was asked for beyond it, and one that is asked for now
-// would last, which it doesn't while a run here must end soon.
+// Leasable reports whether a run of job j may start here: no requested lease ends after the job's EndBy, and a new
+// lease would have at least half of the usual length, which it has not while a run here must end soon.
 func (e *Endpoint) Leasable(now time.Time, j Job) bool {
-	return !e.lapse.After(j.By()) && 2*e.ask(now) >= e.limits.Lease()
+	return !e.leaseEnd.After(j.By()) && 2*e.maxLease(now) >= e.limits.Lease()
 }
 
-// Started takes in the answer to a start; it reports false for a run that was over.
+// Started records that the endpoint confirmed a start. It returns false if the run is not in stage Sent.
 func (e *Endpoint) Started(now time.Time, r *Run) bool {
 	if r.Stage != Sent {
 		return false
@@ -200,7 +200,7 @@
 	return true
 }
 
-// Reject takes in that the endpoint did not start a run.
+// Reject records that the endpoint did not start a run.
 func (e *Endpoint) Reject(r *Run) bool {
 	if r.Stage == Over {
 		return false
@@ -209,17 +209,17 @@
 	return true
 }
 
-// Stop marks a run that must end; the caller orders it.
+// Stop marks a run as stopping; the caller sends the order.
 func (e *Endpoint) Stop(r *Run) {
 	if r.Stage != Over {
 		r.Stage = Stopping
 	}
 }
 
-// Stopped takes in the confirmation of a stop.
+// Stopped records the confirmation of a stop.
 func (e *Endpoint) Stopped(now time.Time, n Name) {
 	if r := e.Runs[n]; r != nil {
-		r.stopped = now
+		r.stoppedAt = now
 	}
 	delete(e.orphans, n)
 }
@@ -231,32 +231,32 @@
 	e.Used.Memory -= r.Need.Memory
 	e.Used.Accels -= r.Need.Accels
 	if len(e.Runs) == 0 {
-		e.Used = job.Size{} // no rounding error stays
+		e.Used = job.Size{} // drops rounding errors
 	}
 }
 
-// Finished is a run that is over and how it ended.
+// Finished is a run that is over, with its end state.
 type Finished struct {
 	Run *Run
 	How How
 }
 
-// Orphan is a run that no VM of ours asks for any more.
+// Orphan is a run on the endpoint that its owner did not start.
 type Orphan = Name
 
-// orphanEvery is the pause between two stops of the same orphan: the first may be lost.
-const orphanEvery = 200 * time.Millisecond
+// orphanRetry is the interval at which the stop of an orphan is repeated, since a stop may be lost.
+const orphanRetry = 200 * time.Millisecond
 
-// Take takes in an answer to a renewal that was sent at a time. It returns the runs
-// that are over and those that run here for nobody.
+// ApplyReport applies the answer to a renewal that was sent at the given time. It returns
+// the runs that are over and the orphans to stop.
 func (e *Endpoint) Take(now, sent time.Time, r Report) (over []Finished, orphans []Orphan) {
 	e.Silent, e.Missed = false, 0
-	e.clock, e.at = r.Clock, now
-	e.owed = len(r.Ended) > 0
+	e.clock, e.clockAt = r.Clock, now
+	e.unackedEnds = len(r.Ended) > 0
 	e.Taken = e.Taken || (!e.Known && len(r.Running)+len(r.Ended) > 0)
 	for _, x := range r.Ended {
 		if x.Serial <= e.Cursor {
-			continue // an older answer that was overtaken
+			continue // already applied from a later answer
 		}
 		e.Cursor = x.Serial
 		n := Name{x.Name, x.Num}
@@ -277,7 +277,7 @@
 			}
 			continue
 		}
-		if at, ok := e.orphans[n]; !ok || now.Sub(at) >= orphanEvery {
+		if at, ok := e.orphans[n]; !ok || now.Sub(at) >= orphanRetry {
 			e.orphans[n] = now
 			orphans = append(orphans, n)
 		}
@@ -287,11 +287,11 @@
 			delete(e.orphans, n)
 		}
 	}
-	// A renewal would keep alive what a former owner started, and that owner's VMs run
-	// it again once its lease must have run out; so nothing begins before it is gone.
+	// Renewing for new runs would also keep a former owner's runs alive, while their tasks
+	// are started again once that owner's lease must have expired. So nothing starts until they are gone.
 	e.Known = e.Known || len(e.orphans) == 0
 	for n, run := range e.Runs {
-		if !listed[n] && e.vanished(run, sent) {
+		if !listed[n] && e.endedUnlisted(run, sent) {
 			e.end(run)
 			over = append(over, Finished{run, Gone})
 		}
@@ -299,39 +299,39 @@
 	return over, orphans
 }
 
-// vanished reports whether a run that an answer doesn't list is surely over: it had
-// been confirmed, or its stop had, before the question was asked.
-func (e *Endpoint) vanished(r *Run, sent time.Time) bool {
+// endedUnlisted reports whether a run that an answer doesn't list is certainly over: the run
+// or its stop had been confirmed before the renewal was sent.
+func (e *Endpoint) endedUnlisted(r *Run, sent time.Time) bool {
 	switch r.Stage {
 	case On:
 		return r.Seen.Before(sent)
 	case Stopping:
-		return !r.stopped.IsZero() && r.stopped.Before(sent)
+		return !r.stoppedAt.IsZero() && r.stoppedAt.Before(sent)
 	default:
 		return false
 	}
 }
 
-// Quiet takes in that a renewal got no answer: nothing new is started here, and the
+// MarkSilent records that renewals got no answer: nothing new is started here, and the
 // lease is not renewed until the endpoint answers again.
 func (e *Endpoint) Quiet() { e.Silent = true }
 
-// Lapsed returns the runs of a silent endpoint whose lease has surely run out.
+// ExpireLease ends and returns the runs of a silent endpoint once its lease has certainly expired.
 func (e *Endpoint) Lapsed(now time.Time) (over []Finished) {
-	if !e.Silent || now.Before(e.lapse) {
+	if !e.Silent || now.Before(e.leaseEnd) {
 		return nil
 	}
 	return e.Lost()
 }
 
-// Lapse is when everything here has ended that is not renewed any more.
-func (e *Endpoint) Lapse() time.Time { return e.lapse }
+// LeaseEnd returns the time by which all runs here have ended unless the lease is renewed.
+func (e *Endpoint) Lapse() time.Time { return e.leaseEnd }
 
-// Lost ends all runs: this life of the endpoint is over, or its leases are.
+// EndLost ends all runs after this incarnation of the endpoint was lost or its lease expired.
 func (e *Endpoint) Lost() (over []Finished) {
 	for _, r := range e.Runs {
 		how := Died
-		if !r.stopped.IsZero() { // it had ended before
+		if !r.stoppedAt.IsZero() { // it ended before the loss
 			how = Gone
 		}
 		e.end(r)
@@ -340,7 +340,7 @@
 	return over
 }
 
-// Cleared ends all runs: the endpoint obeys a higher fence, under which it has listed none of them.
+// EndFenced ends all runs: the endpoint obeys a higher fence and listed none of them under it.
 func (e *Endpoint) Cleared() (over []Finished) {
 	for _, r := range e.Runs {
 		e.end(r)
--- a/internal/task/lease/lease_test.go
+++ b/internal/task/lease/lease_test.go
@@ -25,7 +25,7 @@
 
 func task(n int) batch.Task { return batch.Task{Job: "j", Index: n} }
 
-func TestRoomIsHeldUntilTheEndIsListed(t *testing.T) {
+func TestCapacityIsHeldUntilEndIsListed(t *testing.T) {
 	is := is.New(t)
 	e := endpoint()
 	r := e.Start(t0, task(0), 1, need)
@@ -33,39 +33,39 @@
 	is.True(e.Started(t0, r))
 	e.Stop(r)
 	e.Stopped(t0.Add(time.Millisecond), Name{r.Name, 1})
-	is.Equal(e.Free().Cores, 54.0) // a stop takes its time
+	is.Equal(e.Free().Cores, 54.0) // a confirmed stop has not ended the run yet
 	over, _ := e.Take(t0.Add(40*time.Millisecond), t0.Add(30*time.Millisecond), Report{Clock: 1040, Ended: []Ended{{Serial: 1, Name: r.Name, Num: 1, How: Gone}}})
 	is.Equal(len(over), 1)
 	is.Equal(e.Free().Cores, 64.0)
 	is.Equal(e.Cursor, int64(1))
 	over, _ = e.Take(t0, t0, Report{Ended: []Ended{{Serial: 1, Name: r.Name, Num: 1, How: Done}}})
-	is.Equal(len(over), 0) // listed again: it was noted already
+	is.Equal(len(over), 0) // listed again: already applied
 }
 
-// Symptom: a task runs twice. Sequence: a start gets no answer and its task is started
-// elsewhere; then the first order is carried out after all. Cause: a run that isn't
-// listed is taken for one that never began, though nothing stops it from beginning.
-func TestStartWithoutAnswerIsOverOnlyAfterAConfirmedStop(t *testing.T) {
+// Guards against a task that runs twice: a start gets no answer and the task is started
+// elsewhere, then the first order arrives after all. An unlisted run must not count as
+// never begun while its delayed start can still arrive.
+func TestUnansweredStartNeedsConfirmedStop(t *testing.T) {
 	is := is.New(t)
 	e := endpoint()
 	r := e.Start(t0, task(0), 1, need)
 	at := t0.Add(100 * time.Millisecond)
 	over, _ := e.Take(at, at, Report{Clock: 1100})
-	is.Equal(len(over), 0) // it may begin yet
+	is.Equal(len(over), 0) // it may still begin
 	e.Stop(r)
 	over, _ = e.Take(at, at, Report{Clock: 1100})
-	is.Equal(len(over), 0) // so it may now
+	is.Equal(len(over), 0) // it still may
 	e.Stopped(at, Name{r.Name, 1})
 	over, _ = e.Take(at, at.Add(-time.Millisecond), Report{Clock: 1100})
-	is.Equal(len(over), 0) // asked before the stop was confirmed
+	is.Equal(len(over), 0) // renewal sent before the stop was confirmed
 	over, _ = e.Take(at, at.Add(time.Millisecond), Report{Clock: 1100})
 	is.Equal(len(over), 1)
 	is.Equal(over[0].How, Gone)
 }
 
-// Symptom: a task runs twice. Sequence: an endpoint falls silent and its tasks are
-// started elsewhere while they go on there. Cause: its lease had not run out.
-func TestSilentEndpointsRunsAreOverWithTheLease(t *testing.T) {
+// Guards against a task that runs twice: an endpoint stops answering, and its tasks are
+// started elsewhere before its lease has expired.
+func TestSilentEndpointKeepsRunsUntilLeaseEnds(t *testing.T) {
 	is := is.New(t)
 	e := endpoint()
 	r := e.Start(t0, task(0), 1, need)
@@ -73,32 +73,31 @@
 	e.Started(t0, r)
 	e.Quiet()
 	is.Equal(len(e.Lapsed(t0.Add(900*time.Millisecond))), 0)
-	is.Equal(len(e.Lapsed(t0.Add(960*time.Millisecond))), 1) // 0.9 s, 2 % slow, and a grace
+	is.Equal(len(e.Lapsed(t0.Add(960*time.Millisecond))), 1) // 0.9 s, a 2 % slow clock and expiryGrace
 }
 
-// Symptom: a client's second try runs beside its first. Sequence: an owner dies, the next
-// one renews the lease of an endpoint where the dead one's runs go on. Cause: work is
-// begun there before those runs are gone.
-func TestNewOwnerBeginsNothingBesideOrphans(t *testing.T) {
+// Guards against a resubmitted job that runs beside its first submission: an owner dies, and
+// the next one starts work on an endpoint, and renews its lease, while old runs go on there.
+func TestNewOwnerWaitsForOrphansToEnd(t *testing.T) {
 	is := is.New(t)
 	e := New(Info{ID: "e", Size: job.Size{Cores: 64}}, 7, limits)
 	_, orphans := e.Take(t0, t0, Report{Running: []Listed{{Name: "x.0.0.0", Num: 1}}})
 	is.Equal(orphans, []Orphan{{"x.0.0.0", 1}})
 	is.True(!e.Open())
-	_, orphans = e.Take(t0.Add(orphanEvery), t0, Report{Running: []Listed{{Name: "x.0.0.0", Num: 1}}})
+	_, orphans = e.Take(t0.Add(orphanRetry), t0, Report{Running: []Listed{{Name: "x.0.0.0", Num: 1}}})
 	is.Equal(len(orphans), 1) // the stop may have been lost
 	e.Take(t0.Add(time.Second), t0, Report{Ended: []Ended{{Serial: 3, Name: "x.0.0.0", Num: 1, How: Gone}}})
 	is.True(e.Open())
 }
 
-func TestLeaseIsNeverAskedForTooLong(t *testing.T) {
+func TestLeaseAllowsForSlowClock(t *testing.T) {
 	is := is.New(t)
 	e := endpoint()
 	is.Equal(e.Until(t0), int64(1900))
-	is.Equal(e.Until(t0.Add(10*time.Second)), int64(1000+9800+900)) // a clock that is 2 % slow
+	is.Equal(e.Until(t0.Add(10*time.Second)), int64(1000+9800+900)) // the clock may be 2 % slow
 }
 
-// world is an endpoint that may carry orders out late, beside the owner's view of it.
+// world simulates an endpoint that may execute orders late, next to the owner's view of it.
 type world struct {
 	e       *Endpoint
 	now     time.Time
@@ -106,7 +105,7 @@
 	past    map[string]int
 	ends    []Ended
 	serial  int64
-	late    []Name // starts under way
+	late    []Name // starts still in transit
 	num     int
 	views   []*Run
 }
@@ -135,9 +134,9 @@
 	return r
 }
 
-// Whatever the order of starts, lost answers, late orders, stops and looks: when the
-// owner takes a run for over, it neither runs nor can begin any more.
-func TestWhatIsOverNeverRuns(t *testing.T) {
+// For any order of starts, lost answers, late orders, stops and renewals: a run that the
+// owner considers over neither runs nor can still begin.
+func TestFinishedRunsNeverRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &world{e: endpoint(), now: t0, running: map[Name]bool{}, past: map[string]int{}}
 		check := func(over []Finished) {
@@ -148,7 +147,7 @@
 					mayBegin = mayBegin || (l == n && n.Num > w.past[n.Task])
 				}
 				if w.running[n] || mayBegin {
-					t.Fatalf("%v is taken for over and runs or may begin", n)
+					t.Fatalf("%v counts as over, but runs or may begin", n)
 				}
 			}
 		}
--- a/internal/task/lease/limits.go
+++ b/internal/task/lease/limits.go
@@ -2,88 +2,92 @@
 
 import "time"
 
-// Limits are the endpoints' and the callers' own; settings give them.
+// Limits holds timing limits of endpoints and callers, from settings.
 //
-// A run may outlive the last keepalive of the VM that answers its job's caller by Outlive, counted from when that was sent,
-// so that no message that is late or lost prolongs it. The bounds add up:
+// A run may go on for Outlive after the last keepalive from the VM that answers the job's caller. The time counts from
+// when the keepalive was sent, so that late or lost messages don't extend it. These bounds hold:
 //
 //	Expiry + the time for a stop   <= Outlive      the run is stopped, and its end is listed
-//	Fresh + Lease, on a slow clock <= Outlive      or its endpoint's lease runs out
+//	Fresh + Lease, on a slow clock <= Outlive      or its endpoint's lease expires
 //	Outlive + clocks + Notice      <= Resend       before the caller may submit the job again
 type Limits struct {
 	Hold time.Duration // longest lease that an endpoint grants
-	Stop time.Duration // longest time that a stop takes
-	// Resend is after how long a caller whose job's outcome is unknown submits it again, at the earliest;
+	Stop time.Duration // longest duration of a stop
+	// Resend is the earliest time after which a caller resubmits a job with unknown outcome;
 	// 0 if callers never do.
 	Resend time.Duration
-	// Notice is how long the end of a caller's connection may be under way.
+	// Notice is the longest time until the end of a caller's connection is noticed.
 	Notice time.Duration
 }
 
-// StopPart is how many of the longest stops go into Resend at least.
+// StopsPerResend is the minimum ratio of Resend to Stop.
 const StopPart = 5
 
 const (
-	// part of the longest lease that is asked for: a renewal takes a few milliseconds,
-	// and an order that is carried out late finds its lease in the past sooner.
-	part = 0.9
-	// drift is how slow an endpoint's clock may be.
-	drift = 0.02
-	// grace is added before a lease is taken to have run out: timers fire late.
-	grace = 30 * time.Millisecond
-	// clockRate is how much slower than a caller's clock a VM's may be, as a part.
-	clockRate = 0.01
-	// forever stands for no bound.
-	forever = 24 * time.Hour
-	// freshPart of Outlive is how old a keepalive may be for a job to start. The rest is for the lease.
-	freshPart = 1.0 / 3
-	// expiryMost is the silence of a VM after which its jobs are ended at the latest: nobody waits for them.
-	expiryMost = 900 * time.Millisecond
-	// confirmMost is how long the end of a run takes to be listed, with orders that are repeated, and
-	// confirmPart the part of Outlive that is kept for it.
-	confirmMost = 300 * time.Millisecond
-	confirmPart = 1.0 / 3
-	// stops is how many times the longest stop is kept for it at least.
-	stops = 2
-	// intervals is how many keepalives are sent while one is fresh, intervalMost the longest pause between two.
-	intervals    = 2.5
-	intervalMost = 150 * time.Millisecond
+	// leaseFraction is the fraction of Hold that is requested: a renewal takes a few
+	// milliseconds, and a shorter lease makes delayed orders expire sooner.
+	leaseFraction = 0.9
+	// clockDrift bounds how much slower an endpoint's clock may run.
+	clockDrift = 0.02
+	// expiryGrace is added before a lease counts as expired, since timers fire late.
+	expiryGrace = 30 * time.Millisecond
+	// callerDrift bounds how much slower than a caller's clock a VM's may run.
+	callerDrift = 0.01
+	// unbounded stands for no limit.
+	unbounded = 24 * time.Hour
+	// freshFraction of Outlive is the maximum keepalive age for a start; the rest is for the lease.
+	freshFraction = 1.0 / 3
+	// maxExpiry bounds the silence of a VM until its jobs are ended, since nobody waits for them.
+	maxExpiry = 900 * time.Millisecond
+	// maxConfirm is how long the end of a run takes to be listed, including repeated orders;
+	// at most confirmFraction of Outlive is reserved for it.
+	maxConfirm      = 300 * time.Millisecond
+	confirmFraction = 1.0 / 3
+	// minStops is the minimum time reserved for it, in multiples of Stop.
+	minStops = 2
+	// keepalivesFresh is the number of keepalives sent within Fresh; maxInterval bounds the time between two.
+	keepalivesFresh = 2.5
+	maxInterval     = 150 * time.Millisecond
 )
 
-// Outlive is how long after the last keepalive of its caller's VM a run may go on.
+// Outlive returns how long a run may go on after the last keepalive from its caller's VM was sent.
 func (l Limits) Outlive() time.Duration {
 	if l.Resend <= 0 {
-		return forever
+		return unbounded
 	}
-	return scaled(l.Resend, 1-clockRate) - l.Notice
+	return scaled(l.Resend, 1-callerDrift) - l.Notice
 }
 
-// Fresh is how old a job's last keepalive may be for its tasks to be started.
+// Fresh returns the maximum age of a job's last keepalive at which its tasks may still start.
 func (l Limits) Fresh() time.Duration {
-	return min(scaled(l.Outlive(), freshPart), l.Expiry()/2)
+	return min(scaled(l.Outlive(), freshFraction), l.Expiry()/2)
 }
 
-// Expiry is how old a job's last keepalive is when the job is ended.
+// Expiry returns the age of its last keepalive at which a job is ended.
 func (l Limits) Expiry() time.Duration {
 	o := l.Outlive()
-	if o == forever {
-		return forever
+	if o == unbounded {
+		return unbounded
 	}
-	return min(expiryMost, o-max(stops*l.Stop, min(confirmMost, scaled(o, confirmPart))))
+	return min(maxExpiry, o-max(minStops*l.Stop, min(maxConfirm, scaled(o, confirmFraction))))
 }
 
-// Interval is the pause between two keepalives.
-func (l Limits) Interval() time.Duration { return min(intervalMost, scaled(l.Fresh(), 1/intervals)) }
+// Interval returns the time between two keepalives.
+func (l Limits) Interval() time.Duration {
+	return min(maxInterval, scaled(l.Fresh(), 1/keepalivesFresh))
+}
 
-// Lease is the longest that is asked for, on the endpoint's clock.
+// Lease returns the longest lease to request, by the endpoint's clock.
 func (l Limits) Lease() time.Duration {
-	return min(scaled(l.Hold, part), leaseWithin(l.Outlive()-l.Fresh()))
+	return min(scaled(l.Hold, leaseFraction), leaseWithin(l.Outlive()-l.Fresh()))
 }
 
-// leaseWithin is the longest lease that surely ends within a time on a VM's clock.
-func leaseWithin(d time.Duration) time.Duration { return max(0, scaled(d-grace, 1-drift)) }
+// leaseWithin returns the longest lease that certainly ends within d on a VM's clock.
+func leaseWithin(d time.Duration) time.Duration { return max(0, scaled(d-expiryGrace, 1-clockDrift)) }
 
-// lasts is the longest that a lease may last on a VM's clock.
-func lasts(ask time.Duration) time.Duration { return scaled(ask, 1/(1-drift)) + grace }
+// maxDuration returns the longest time that a lease may last on a VM's clock.
+func maxDuration(lease time.Duration) time.Duration {
+	return scaled(lease, 1/(1-clockDrift)) + expiryGrace
+}
 
-func scaled(d time.Duration, by float64) time.Duration { return time.Duration(by * float64(d)) }
+func scaled(d time.Duration, factor float64) time.Duration { return time.Duration(factor * float64(d)) }
--- a/internal/task/lease/limits_test.go
+++ b/internal/task/lease/limits_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against runs that go on when their job may be submitted again: the bounds add up for any settings.
-func TestRunsEndBeforeTheirJobComesAgain(t *testing.T) {
+// Guards against runs that go on when their job may be submitted again: the bounds hold for any settings.
+func TestRunsEndBeforeResubmission(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		ms := func(name string, least, most int) time.Duration {
@@ -18,10 +18,10 @@
 		resend := ms("resend", 400, 60_000)
 		stop := time.Duration(rapid.IntRange(1, int(resend/StopPart)).Draw(t, "stop"))
 		l := Limits{Hold: ms("hold", 100, 60_000), Stop: stop, Resend: resend, Notice: 100 * time.Millisecond}
-		slowest := time.Duration(float64(l.Lease())/(1-drift)) + grace // that a lease may last
+		slowest := time.Duration(float64(l.Lease())/(1-clockDrift)) + expiryGrace // longest duration of a lease
 		is.True(l.Lease() > 0)
 		is.True(l.Fresh()+slowest <= l.Outlive())
-		is.True(l.Expiry()+l.Stop < l.Outlive()) // a stop has time
+		is.True(l.Expiry()+l.Stop < l.Outlive()) // leaves time for a stop
 		is.True(l.Fresh() < l.Expiry())
 		is.True(l.Outlive()+l.Notice <= l.Resend)
 		is.True(2*l.Interval() <= l.Fresh()) // one keepalive in two may be lost
@@ -32,15 +32,15 @@
 
 func (u *until) By() time.Time { return time.Time(*u) }
 
-// Guards against a lease that another run's renewal prolongs beyond a run that must end.
-func TestLeaseEndsBeforeAnyRunMust(t *testing.T) {
+// Guards against a renewal for one run that extends the lease beyond the EndBy of another.
+func TestLeaseEndsBeforeRunDeadlines(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limits{Hold: time.Second, Resend: 1300 * time.Millisecond}
 		e, now := New(Info{ID: "e"}, 7, l), t0
 		e.Take(now, now, Report{Clock: 1000})
 		var bys []*until
 		for n := range 30 {
-			now = now.Add(time.Duration(rapid.IntRange(-700, 1000).Draw(t, "step")) * time.Millisecond) // some are read before a pause
+			now = now.Add(time.Duration(rapid.IntRange(-700, 1000).Draw(t, "step")) * time.Millisecond) // a goroutine may pause after reading the clock
 			age := time.Duration(rapid.IntRange(0, int(l.Outlive()/time.Millisecond)).Draw(t, "age")) * time.Millisecond
 			by := until(now.Add(l.Outlive() - age))
 			switch i := rapid.IntRange(0, 2).Draw(t, "what"); {
