--- a/internal/task/health/book.go
+++ b/internal/task/health/book.go
@@ -1,10 +1,10 @@
-// Package health judges endpoints by how tasks end on them, against how the
+// Package health rates endpoints by how tasks end on them, compared with how the
 // same kinds of tasks end elsewhere.
 //
-// What goes wrong: an endpoint that fails every task answers fastest, so it is
-// free most often and draws the most work. One notices many failed jobs that
-// share one endpoint. The book allows an endpoint fewer slots with each failure
-// that its tasks' tenants don't explain, and none after a few.
+// An endpoint that fails every task answers fastest, so it is free most often and
+// attracts the most work: many failed jobs share one endpoint. The Tracker reduces an
+// endpoint's slots with each failure that the kind of task doesn't explain, and
+// ejects it after a few.
 package health
 
 import (
@@ -17,13 +17,13 @@
 // End says how an attempt ended.
 type End uint8
 
-// The ends of an attempt that bear on health.
+// The ends of an attempt that affect health.
 const (
 	OK          End = iota
 	Bad             // the task ran and failed
 	Unreachable     // nothing could be sent
-	Silent          // sent, and no answer came
-	Going           // it runs yet; Ran is what it will take in all
+	Silent          // sent, but not answered
+	Going           // still running; Ran is its expected total run time
 )
 
 var endNames = [...]string{"ok", "bad", "unreachable", "silent", "going"}
@@ -31,29 +31,29 @@
 func (e End) String() string { return endNames[e] }
 
 const (
-	// out is how many unexplained strikes in a row eject an endpoint.
-	out = 2.2
-	// blame is the gain of a kind's failure rate.
-	blame = 0.3
-	// rest is the first time out; it doubles with each failed trial.
-	rest    = 10 * time.Second
-	restTop = 10 * time.Minute
-	// redial is the first pause after a failed dial.
-	redial    = 250 * time.Millisecond
-	redialTop = 5 * time.Second
-	// slowOut is the distance of the run time's logarithm from the usual at which an
+	// ejectStrikes is the strike count that ejects an endpoint; successes halve it.
+	ejectStrikes = 2.2
+	// failureGain is the weight of a new sample in a kind's failure rate.
+	failureGain = 0.3
+	// firstEjection is the first ejection time; it doubles with each failed trial.
+	firstEjection = 10 * time.Second
+	maxEjection   = 10 * time.Minute
+	// firstRedial is the first delay after a failed connection; it doubles with each further one.
+	firstRedial = 250 * time.Millisecond
+	maxRedial   = 5 * time.Second
+	// stragglerLog is the log of the slowdown against the average endpoint above which an
 	// endpoint counts as a straggler (e^1.2, 3.3 times).
-	slowOut = 1.2
-	// capPart is the part of the endpoints that may be out for failures at once.
-	capPart = 1.0 / 3
+	stragglerLog = 1.2
+	// ejectFraction is the fraction of the endpoints that may be ejected at once.
+	ejectFraction = 1.0 / 3
 )
 
-// The gains of the run time's logarithm: how much a run tells of its endpoint.
+// The weights of a new sample in the average of an endpoint's log run time.
 const (
-	// Wild is for run times of which one in twenty is ten times its usual.
+	// NoisyGain is for run times of which one in twenty is ten times the expected one.
 	Wild = 0.1
-	// Tame is for run times within a factor of two of what is expected: four runs tell a
-	// straggler, not fifteen.
+	// SteadyGain is for run times within a factor of two of the expected one: four runs
+	// detect a straggler instead of fifteen.
 	Tame = 0.3
 )
 
@@ -66,221 +66,223 @@
 	Usual time.Duration
 }
 
-// Book judges the endpoints that one VM sends to.
+// Tracker tracks the health of the endpoints that one VM sends to.
 type Book struct {
-	mu    sync.Mutex
-	all   map[netip.AddrPort]*state
-	kinds map[string]*kind
-	gain  float64
-	slow  float64 // usual logarithm of run time over expectation
+	mu              sync.Mutex
+	endpoints       map[netip.AddrPort]*state
+	kinds           map[string]*kind
+	gain            float64
+	meanLogSlowness float64 // average log of run time over expected run time, all endpoints
 }
 
-// kind of task, by tenant and name.
+// kind holds what is known about a kind of task of one tenant.
 type kind struct {
-	failing float64 // recent failure rate
-	proven  bool    // it has succeeded somewhere
+	failureRate float64 // recent failure rate
+	succeeded   bool    // it succeeded on some endpoint
 }
 
 type state struct {
-	slots   int
-	strikes float64
-	out     bool
-	dead    bool
-	until   time.Time
-	rest    time.Duration
-	slow    float64
-	samples int
+	slots       int
+	strikes     float64
+	ejected     bool
+	unreachable bool
+	retryAt     time.Time
+	backoff     time.Duration
+	logSlowness float64
+	samples     int
 }
 
-// mostKinds bounds the memory that invented kinds can take.
-const mostKinds = 4096
+// maxKinds bounds the memory that invented kinds can take.
+const maxKinds = 4096
 
-// New returns an empty book; gain is Wild or Tame.
+// New returns an empty tracker; gain is NoisyGain or SteadyGain.
 func New(gain float64) *Book {
-	return &Book{gain: gain, all: map[netip.AddrPort]*state{}, kinds: map[string]*kind{}}
+	return &Book{gain: gain, endpoints: map[netip.AddrPort]*state{}, kinds: map[string]*kind{}}
 }
 
-// Keep forgets all endpoints but those listed and learns their slots.
-func (b *Book) Keep(slots map[netip.AddrPort]int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for a := range b.all {
+// SetEndpoints replaces the set of endpoints and their slots; known endpoints keep their health.
+func (t *Book) Keep(slots map[netip.AddrPort]int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for a := range t.endpoints {
 		if _, ok := slots[a]; !ok {
-			delete(b.all, a)
+			delete(t.endpoints, a)
 		}
 	}
 	for a, n := range slots {
-		if b.all[a] == nil {
-			b.all[a] = &state{}
+		if t.endpoints[a] == nil {
+			t.endpoints[a] = &state{}
 		}
-		b.all[a].slots = n
+		t.endpoints[a].slots = n
 	}
 }
 
-// Note takes in a report and returns the slots that the endpoint is allowed now.
-func (b *Book) Note(now time.Time, r Report) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.all[r.Addr]
+// Record applies a report and returns the slots that may now be used on the endpoint.
+func (t *Book) Note(now time.Time, r Report) int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.endpoints[r.Addr]
 	if s == nil {
 		return 0
 	}
 	switch r.End {
 	case OK:
-		b.ok(s, r)
-		b.speed(s, r)
+		t.recordOK(s, r)
+		t.recordSpeed(s, r)
 	case Going:
-		b.speed(s, r)
+		t.recordSpeed(s, r)
 	case Bad:
-		b.bad(now, s, r)
+		t.recordFailure(now, s, r)
 	case Unreachable:
-		s.dead = true
-		s.rest = min(redialTop, max(redial, 2*s.rest))
-		s.until = now.Add(s.rest)
+		s.unreachable = true
+		s.backoff = min(maxRedial, max(firstRedial, 2*s.backoff))
+		s.retryAt = now.Add(s.backoff)
 	case Silent:
-		s.strikes += 0.5 // a long run that timed out looks the same
-		b.judge(now, s)
+		s.strikes += 0.5 // only half, since a long run that timed out looks the same
+		t.maybeEject(now, s)
 	}
-	return b.limit(now, s)
+	return t.limit(now, s)
 }
 
-func (b *Book) ok(s *state, r Report) {
-	b.rate(r.Kind, 0)
-	if s.out || s.dead {
-		s.out, s.dead, s.rest = false, false, 0
-		s.strikes = 1 // back by a trickle: a quarter of the slots, then half
+func (t *Book) recordOK(s *state, r Report) {
+	t.recordKind(r.Kind, 0)
+	if s.ejected || s.unreachable {
+		s.ejected, s.unreachable, s.backoff = false, false, 0
+		s.strikes = 1 // readmit gradually: half of the slots first
 	} else {
 		s.strikes *= 0.5
 	}
 }
 
-// speed takes a run time into the endpoint's speed.
-func (b *Book) speed(s *state, r Report) {
+// recordSpeed adds a run time to the endpoint's average.
+func (t *Book) recordSpeed(s *state, r Report) {
 	if r.Ran <= 0 || r.Usual <= 0 {
 		return
 	}
 	x := math.Log(r.Ran.Seconds() / r.Usual.Seconds())
 	s.samples++
-	s.slow += max(b.gain, 1/float64(s.samples)) * (x - s.slow)
-	b.slow += 0.01 * (x - b.slow)
+	s.logSlowness += max(t.gain, 1/float64(s.samples)) * (x - s.logSlowness)
+	t.meanLogSlowness += 0.01 * (x - t.meanLogSlowness)
 }
 
-// bad counts a failure only as far as its kind doesn't fail elsewhere too, and not
-// at all before the kind has succeeded once: one tenant whose requests all fail
-// must not eject endpoints.
-func (b *Book) bad(now time.Time, s *state, r Report) {
-	if k := b.kinds[r.Kind]; k != nil && k.proven {
-		s.strikes += 1 - k.failing
+// recordFailure weights a failure by how rarely its kind fails in general, and ignores
+// it before the kind has succeeded once: one tenant whose requests all fail must not
+// eject endpoints.
+func (t *Book) recordFailure(now time.Time, s *state, r Report) {
+	if k := t.kinds[r.Kind]; k != nil && k.succeeded {
+		s.strikes += 1 - k.failureRate
 	}
-	b.rate(r.Kind, 1)
-	b.judge(now, s)
+	t.recordKind(r.Kind, 1)
+	t.maybeEject(now, s)
 }
 
-func (b *Book) judge(now time.Time, s *state) {
-	if s.strikes < out || (!s.out && b.ejected()+1 > b.most()) {
+func (t *Book) maybeEject(now time.Time, s *state) {
+	if s.strikes < ejectStrikes || (!s.ejected && t.ejectedCount()+1 > t.maxEjected()) {
 		return
 	}
-	s.out = true
-	s.rest = min(restTop, max(rest, 2*s.rest))
-	s.until = now.Add(s.rest)
+	s.ejected = true
+	s.backoff = min(maxEjection, max(firstEjection, 2*s.backoff))
+	s.retryAt = now.Add(s.backoff)
 }
 
-func (b *Book) rate(name string, x float64) {
-	k := b.kinds[name]
+func (t *Book) recordKind(name string, x float64) {
+	k := t.kinds[name]
 	if k == nil {
-		if len(b.kinds) >= mostKinds {
-			clear(b.kinds)
+		if len(t.kinds) >= maxKinds {
+			clear(t.kinds)
 		}
 		k = &kind{}
-		b.kinds[name] = k
+		t.kinds[name] = k
 	}
-	k.failing += blame * (x - k.failing)
-	k.proven = k.proven || x == 0
+	k.failureRate += failureGain * (x - k.failureRate)
+	k.succeeded = k.succeeded || x == 0
 }
 
-// Reached notes that an endpoint which could not be reached answered a probe. It
-// says nothing of how tasks end there, so an ejected endpoint stays out.
-func (b *Book) Reached(a netip.AddrPort) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if s := b.all[a]; s != nil && s.dead {
-		s.dead = false
-		if !s.out {
-			s.rest = 0
+// Reached records that an unreachable endpoint answered a probe. That says nothing
+// about how tasks end there, so an ejected endpoint stays ejected.
+func (t *Book) Reached(a netip.AddrPort) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if s := t.endpoints[a]; s != nil && s.unreachable {
+		s.unreachable = false
+		if !s.ejected {
+			s.backoff = 0
 		}
 	}
 }
 
-// Limit returns the slots that an endpoint is allowed now.
-func (b *Book) Limit(now time.Time, a netip.AddrPort) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.all[a]
+// Limit returns the slots that may now be used on an endpoint.
+func (t *Book) Limit(now time.Time, a netip.AddrPort) int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.endpoints[a]
 	if s == nil {
 		return 0
 	}
-	return b.limit(now, s)
+	return t.limit(now, s)
 }
 
-func (b *Book) limit(now time.Time, s *state) int {
+func (t *Book) limit(now time.Time, s *state) int {
 	switch {
-	case s.out || s.dead:
-		if now.Before(s.until) {
+	case s.ejected || s.unreachable:
+		if now.Before(s.retryAt) {
 			return 0
 		}
-		return 1 // a trial
-	case s.samples >= b.sure() && s.slow-b.slow > slowOut:
+		return 1 // one trial task at a time
+	case s.samples >= t.minSamples() && s.logSlowness-t.meanLogSlowness > stragglerLog:
 		return max(1, s.slots/8)
 	default:
 		return max(1, s.slots>>min(3, int(math.Ceil(s.strikes-0.25))))
 	}
 }
 
-// sure is how many samples tell an endpoint's speed: twice as many as one of them weighs.
-func (b *Book) sure() int { return int(2 / b.gain) }
+// minSamples returns how many samples a valid speed needs: twice the inverse of the gain.
+func (t *Book) minSamples() int { return int(2 / t.gain) }
 
-// Slow is the endpoint's run time in percent of the usual.
-func (b *Book) Slow(a netip.AddrPort) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.all[a]
-	if s == nil || s.samples < b.sure() {
+// Slowness returns the endpoint's run time in percent of the average.
+func (t *Book) Slow(a netip.AddrPort) int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.endpoints[a]
+	if s == nil || s.samples < t.minSamples() {
 		return 100
 	}
-	return int(100 * min(20, max(0.5, math.Exp(s.slow-b.slow))))
+	return int(100 * min(20, max(0.5, math.Exp(s.logSlowness-t.meanLogSlowness))))
 }
 
-// Out lists the ejected endpoints, for peers and operators.
-func (b *Book) Out() (list []netip.AddrPort) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for a, s := range b.all {
-		if s.out {
+// Ejected lists the ejected endpoints, for peers and operators.
+func (t *Book) Out() (list []netip.AddrPort) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for a, s := range t.endpoints {
+		if s.ejected {
 			list = append(list, a)
 		}
 	}
 	return list
 }
 
-// Hear takes over a peer's verdict that an endpoint fails what it starts.
-func (b *Book) Hear(now time.Time, a netip.AddrPort) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.all[a]
-	if s == nil || s.out {
+// ApplyVerdict applies a peer's verdict that an endpoint fails its tasks.
+func (t *Book) Hear(now time.Time, a netip.AddrPort) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.endpoints[a]
+	if s == nil || s.ejected {
 		return
 	}
-	s.strikes = max(s.strikes, out)
-	b.judge(now, s)
+	s.strikes = max(s.strikes, ejectStrikes)
+	t.maybeEject(now, s)
 }
 
-func (b *Book) ejected() (n int) {
-	for _, s := range b.all {
-		if s.out {
+func (t *Book) ejectedCount() (n int) {
+	for _, s := range t.endpoints {
+		if s.ejected {
 			n++
 		}
 	}
 	return n
 }
 
-func (b *Book) most() int { return max(1, int(math.Ceil(capPart*float64(len(b.all))))) }
+func (t *Book) maxEjected() int {
+	return max(1, int(math.Ceil(ejectFraction*float64(len(t.endpoints)))))
+}
--- a/internal/task/health/book_test.go
+++ b/internal/task/health/book_test.go
@@ -28,9 +28,9 @@
 	return b.Note(at, Report{Addr: addr(n), Kind: kind, End: e, Ran: 200 * time.Millisecond, Usual: 200 * time.Millisecond})
 }
 
-// Symptom: one endpoint loses most jobs of a domain. Sequence: it fails every
-// task at once, is free again and is picked again. Cause: failures don't count.
-func TestEndpointThatFailsEverythingIsOutAfterThree(t *testing.T) {
+// Guards against one endpoint that fails most jobs of a domain: it fails every task
+// at once, is free again and is picked again.
+func TestEndpointIsEjectedAfterThreeFailures(t *testing.T) {
 	is := is.New(t)
 	b := book(6)
 	for i := range 6 {
@@ -41,19 +41,19 @@
 	note(b, now, 0, "q", Bad)
 	note(b, now, 1, "q", OK)
 	is.Equal(note(b, now, 0, "q", Bad), 0)
-	is.Equal(b.Limit(now.Add(rest), addr(0)), 1) // one trial
-	is.Equal(note(b, now.Add(rest), 0, "q", Bad), 0)
-	is.Equal(b.Limit(now.Add(2*rest), addr(0)), 0) // the pause doubled
-	is.Equal(note(b, now.Add(4*rest), 0, "q", OK), 4)
+	is.Equal(b.Limit(now.Add(firstEjection), addr(0)), 1) // one trial task
+	is.Equal(note(b, now.Add(firstEjection), 0, "q", Bad), 0)
+	is.Equal(b.Limit(now.Add(2*firstEjection), addr(0)), 0) // the ejection time doubled
+	is.Equal(note(b, now.Add(4*firstEjection), 0, "q", OK), 4)
 }
 
-// Symptom: healthy endpoints are ejected. Sequence: every request of one tenant
-// fails, on whatever endpoint. Cause: failures are put down to the endpoint.
-func TestOneTenantsBadRequestsEjectNobody(t *testing.T) {
+// Guards against ejected healthy endpoints: every request of one tenant fails on any
+// endpoint, and the failures are attributed to the endpoints.
+func TestOneTenantsFailuresEjectNoEndpoint(t *testing.T) {
 	is := is.New(t)
 	b := book(6)
 	for i := range 6 {
-		note(b, now, i, "bad", OK) // it was good until now
+		note(b, now, i, "bad", OK) // this kind succeeded until now
 	}
 	for i := range 600 {
 		note(b, now, i%6, "bad", Bad)
@@ -62,7 +62,7 @@
 	is.Equal(len(b.Out()), 0)
 }
 
-func TestCapOnEjections(t *testing.T) {
+func TestEjectionsAreCapped(t *testing.T) {
 	is := is.New(t)
 	b := book(6)
 	for i := range 18 {
@@ -76,7 +76,7 @@
 	is.Equal(len(b.Out()), 2)
 }
 
-func TestStragglerGetsAnEighth(t *testing.T) {
+func TestStragglerGetsAnEighthOfItsSlots(t *testing.T) {
 	is := is.New(t)
 	b := book(6)
 	for range 200 {
@@ -93,10 +93,9 @@
 	is.True(b.Slow(addr(0)) > 300)
 }
 
-// Symptom: jobs are late for seconds when a proven endpoint turns slow. Sequence: it had
-// many good runs, and then takes 6.5 times as long. Cause: fifteen slow runs are needed until
-// it counts as a straggler, and each takes long.
-func TestFourSlowRunsTellATameStraggler(t *testing.T) {
+// Guards against jobs that are late for seconds when an endpoint with many good runs becomes
+// 6.5 times slower: if fifteen slow runs are needed to detect it, detection takes long.
+func TestStragglerIsDetectedWithinFourRuns(t *testing.T) {
 	is := is.New(t)
 	for gain, most := range map[float64]int{Tame: 4, Wild: 15} {
 		b := New(gain)
--- a/internal/task/learn/book_test.go
+++ b/internal/task/learn/book_test.go
@@ -9,10 +9,10 @@
 	"github.com/matryer/is"
 )
 
-// Symptom: jobs are refused or started in vain although slots suffice. Sequence:
-// a tenant declares a tenth or ten times of what its tasks take. Cause: the
-// declaration is believed for ever.
-func TestWrongDeclarationIsUnlearned(t *testing.T) {
+// Guards against jobs that are refused, or started without a chance, although slots
+// suffice: a tenant declares a tenth or ten times of the real run time, and samples
+// don't replace the declaration.
+func TestSamplesOverrideDeclaration(t *testing.T) {
 	is := is.New(t)
 	for _, told := range []time.Duration{20 * time.Millisecond, 2 * time.Second} {
 		var b Book
@@ -30,8 +30,8 @@
 func TestInventedKindsShareOneEntry(t *testing.T) {
 	is := is.New(t)
 	var b Book
-	for i := range most + 500 {
+	for i := range maxKinds + 500 {
 		b.Note(Key{"prairie", fmt.Sprint("kind", i)}, time.Second)
 	}
-	is.Equal(b.size.Load(), int64(most))
+	is.Equal(b.count.Load(), int64(maxKinds))
 }
--- a/internal/task/learn/waits_test.go
+++ b/internal/task/learn/waits_test.go
@@ -7,10 +7,10 @@
 	"github.com/matryer/is"
 )
 
-// Symptom: after a loss of all VMs fresh jobs are refused while jobs that nobody can answer in
-// time any more are run. Sequence: the first callers after it have waited for more than a
-// second; others come for the first time. Cause: a VM takes all for fresh.
-func TestCallersThatComeAgainAreTold(t *testing.T) {
+// Guards against new jobs that are refused after a loss of all VMs while jobs run that can't
+// be answered in time any more: the first callers have already waited for more than a second,
+// others are new, and the VM treats all as new.
+func TestResubmittedJobsAreDetected(t *testing.T) {
 	is := is.New(t)
 	w := &Waits{}
 	const whole = 1600 * time.Millisecond
@@ -23,9 +23,9 @@
 	is.True(w.Note("q", whole, 500*time.Millisecond) >= 700*time.Millisecond)
 }
 
-// Symptom: the jobs of one service always wait behind all others. Sequence: its callers wait
-// for half as long as its operators declare. Cause: each is taken for one that comes again.
-func TestCallersThatAlwaysWaitLessAreUsual(t *testing.T) {
+// Guards against jobs of one service that always wait behind all others: its callers wait for
+// half as long as its operators declare, and each counts as a resubmission.
+func TestShortTimeoutsAreNotResubmissions(t *testing.T) {
 	is := is.New(t)
 	w := &Waits{}
 	const whole, left = 1600 * time.Millisecond, 800 * time.Millisecond
--- a/internal/task/quota/bench_test.go
+++ b/internal/task/quota/bench_test.go
@@ -9,7 +9,7 @@
 	"dahliawinch/internal/mesh/frame"
 )
 
-// BenchmarkTick works out 490 tenants' shares with 20 peers, all of which want.
+// BenchmarkTick computes the shares of 490 tenants with demand on this VM and 20 peers.
 func BenchmarkTick(b *testing.B) {
 	book := New()
 	now := time.Unix(1_700_000_000, 0)
--- a/internal/task/quota/book_test.go
+++ b/internal/task/quota/book_test.go
@@ -7,8 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// Symptom: all VMs together hand out more than a quota. Sequence: any wants, known
-// to all. Cause: the portions don't add up.
+// Guards against VMs that together use more than a quota although all know all demands.
 func TestPortionsNeverExceedTheQuota(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(t, "vms")
@@ -22,14 +21,14 @@
 		}
 		total := 0.0
 		for _, w := range wants {
-			p := part(quota, w, sum, float64(n))
+			p := portion(quota, w, sum, float64(n))
 			if sum <= quota && p < w {
-				t.Fatalf("%v wanted within the quota, %v given", w, p)
+				t.Fatalf("demand %v is within the quota, but the portion is %v", w, p)
 			}
 			total += p
 		}
 		if total > quota*1.0001 {
-			t.Fatalf("%v handed out of %v", total, quota)
+			t.Fatalf("portions sum to %v, quota is %v", total, quota)
 		}
 	})
 }
@@ -54,6 +53,6 @@
 		t.Errorf("%d starts in 10 s at 100 a second", starts)
 	}
 	if !b.Open(now, "relief") {
-		t.Error("a tenant without a quota is held back")
+		t.Error("a tenant without a quota may not start")
 	}
 }
