--- a/internal/task/place/bench_test.go
+++ b/internal/task/place/bench_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// BenchmarkRehome works out anew which of 23,000 endpoints are a VM's own.
+// BenchmarkRehome recomputes which of 23,000 endpoints a VM owns.
 func BenchmarkRehome(b *testing.B) {
 	list := make([]Info, 23_000)
 	for i := range list {
--- a/internal/task/place/endpoint.go
+++ b/internal/task/place/endpoint.go
@@ -1,5 +1,5 @@
-// Package place keeps the endpoints' slots as one VM sees them and picks where a
-// task runs.
+// Package place tracks the endpoints' slots as one VM sees them and picks the
+// endpoint for a task.
 package place
 
 import (
@@ -10,7 +10,7 @@
 	"dahliawinch/internal/task/job"
 )
 
-// Info is what the platform's list says of an endpoint.
+// Info describes an endpoint as the platform lists it.
 type Info struct {
 	Addr   netip.AddrPort `json:"addr" msgpack:"a"`
 	Domain string         `json:"domain" msgpack:"d"`
@@ -19,16 +19,16 @@
 	Size   job.Size       `json:"size" msgpack:"z"`
 }
 
-// Endpoint is one endpoint with the slots that this VM uses on it.
+// Endpoint is an endpoint with the slots that this VM uses on it.
 type Endpoint struct {
 	Info
-	busy  atomic.Int32
-	limit atomic.Int32 // slots that its health allows now
-	slow  atomic.Int32 // percent of the usual run time
-	room  atomic.Int32 // slots thought to be open to this VM at since
-	since atomic.Int64
-	leave atomic.Bool
-	heard atomic.Int64 // when it last answered
+	busy       atomic.Int32
+	limit      atomic.Int32 // slots allowed by its health
+	slow       atomic.Int32 // run time in percent of the average
+	assumed    atomic.Int32 // slots assumed usable by this VM at assumedAt
+	assumedAt  atomic.Int64
+	leaving    atomic.Bool
+	answeredAt atomic.Int64 // time of its last answer
 }
 
 // NewEndpoint returns a healthy, idle endpoint.
@@ -39,79 +39,79 @@
 	return e
 }
 
-// Busy is the number of slots this VM uses.
+// Busy returns the number of slots this VM uses.
 func (e *Endpoint) Busy() int { return int(e.busy.Load()) }
 
-// Limit is the number of slots this VM may use now.
+// Limit returns the number of slots this VM may use by the endpoint's health.
 func (e *Endpoint) Limit() int { return int(e.limit.Load()) }
 
-// SetLimit takes over the verdict on the endpoint's health.
+// SetLimit sets the number of slots that the endpoint's health allows.
 func (e *Endpoint) SetLimit(n int) { e.limit.Store(int32(n)) }
 
-// Slow is how long tasks run here, in percent of what they usually run.
+// Slowness returns how long tasks run here, in percent of the average endpoint.
 func (e *Endpoint) Slow() int { return int(e.slow.Load()) }
 
-// SetSlow takes over the measured slowness.
+// SetSlowness sets the measured slowness in percent.
 func (e *Endpoint) SetSlow(percent int) { e.slow.Store(int32(percent)) }
 
-// Leave stops all new work at once; nothing undoes it, since an endpoint that
+// MarkLeaving stops all new work at once. It can't be undone, since an endpoint that
 // comes back is a new incarnation with a new entry in the list.
-func (e *Endpoint) Leave() { e.leave.Store(true) }
+func (e *Endpoint) Leave() { e.leaving.Store(true) }
 
-// Leaving reports whether Leave was called.
-func (e *Endpoint) Leaving() bool { return e.leave.Load() }
+// Leaving reports whether MarkLeaving was called.
+func (e *Endpoint) Leaving() bool { return e.leaving.Load() }
 
-// Hear notes that the endpoint answered.
-func (e *Endpoint) Hear(now time.Time) { e.heard.Store(now.UnixNano()) }
+// Answered records that the endpoint answered.
+func (e *Endpoint) Hear(now time.Time) { e.answeredAt.Store(now.UnixNano()) }
 
-// Quiet reports whether the endpoint has not answered for d.
+// SilentFor reports whether the endpoint has not answered for at least d.
 func (e *Endpoint) Quiet(now time.Time, d time.Duration) bool {
-	return now.UnixNano()-e.heard.Load() >= int64(d)
+	return now.UnixNano()-e.answeredAt.Load() >= int64(d)
 }
 
-// regrow is the time in which one more slot is thought to come free on an endpoint
-// that others use too: about a task's run time over the slots.
-const regrow = 50 * time.Millisecond
+// slotRegrowth is the time after which one more slot is assumed free on an endpoint
+// that other VMs use too: about a task's run time divided by the slots.
+const slotRegrowth = 50 * time.Millisecond
 
-// Full takes in that the endpoint had no slot for one more task.
+// MarkFull records that the endpoint had no free slot for a task. It then counts as
+// having only the slots that this VM uses, and one more per slotRegrowth.
 //
-// What goes wrong without it: a VM takes over the endpoints of one that went and
-// does not know the tasks that still run there. It sends one to each slot, all are
-// refused, the retry budget is spent and tasks wait for it past their deadlines.
-// One notices refusals right after a change of members. The endpoint counts as
-// having just the slots that this VM uses, and one more every regrow.
-func (e *Endpoint) Full(now time.Time) { e.open(now, max(0, e.busy.Load()-1)) }
-
-// Ramp starts an endpoint that others may have used with one slot.
-func (e *Endpoint) Ramp(now time.Time) { e.open(now, 1) }
-
-func (e *Endpoint) open(now time.Time, n int32) {
-	e.room.Store(n)
-	e.since.Store(now.UnixNano())
+// Otherwise a VM that takes over endpoints from a lost VM, and doesn't know the tasks
+// that still run there, sends a task to each slot. All are refused, which exhausts the
+// retry budget, and tasks wait for it past their deadlines: refusals right after a
+// change of members.
+func (e *Endpoint) Full(now time.Time) { e.assume(now, max(0, e.busy.Load()-1)) }
+
+// StartRamp starts with one assumed slot on an endpoint that other VMs may have used.
+func (e *Endpoint) Ramp(now time.Time) { e.assume(now, 1) }
+
+func (e *Endpoint) assume(now time.Time, n int32) {
+	e.assumed.Store(n)
+	e.assumedAt.Store(now.UnixNano())
 }
 
-// allowed is how many slots this VM may use at the given time.
+// allowed returns how many slots this VM may use at the given time.
 func (e *Endpoint) allowed(now time.Time) int32 {
-	grown := (now.UnixNano() - e.since.Load()) / int64(regrow)
+	grown := (now.UnixNano() - e.assumedAt.Load()) / int64(slotRegrowth)
 	if grown > int64(e.Slots) {
 		return e.limit.Load()
 	}
-	return min(e.limit.Load(), e.room.Load()+int32(grown))
+	return min(e.limit.Load(), e.assumed.Load()+int32(grown))
 }
 
-// Free is the number of slots open to this VM at the given time.
+// Free returns the number of free slots for this VM at the given time.
 func (e *Endpoint) Free(now time.Time) int {
-	if e.leave.Load() {
+	if e.leaving.Load() {
 		return 0
 	}
 	return max(0, int(e.allowed(now)-e.busy.Load()))
 }
 
-// take claims one slot and fails when another thread was faster.
-func (e *Endpoint) take(now time.Time) bool {
+// tryAcquire claims one slot; it fails if another goroutine took the last one.
+func (e *Endpoint) tryAcquire(now time.Time) bool {
 	for {
 		n := e.busy.Load()
-		if n >= e.allowed(now) || e.leave.Load() {
+		if n >= e.allowed(now) || e.leaving.Load() {
 			return false
 		}
 		if e.busy.CompareAndSwap(n, n+1) {
@@ -120,5 +120,5 @@
 	}
 }
 
-// Release gives the slot back.
+// Release frees one slot.
 func (e *Endpoint) Release() { e.busy.Add(-1) }
--- a/internal/task/place/place_test.go
+++ b/internal/task/place/place_test.go
@@ -27,7 +27,7 @@
 
 func all(Info) bool { return true }
 
-func TestNeverMoreThanTheSlotsUnderContention(t *testing.T) {
+func TestSlotsAreNeverOverallocated(t *testing.T) {
 	is := is.New(t)
 	for _, name := range Names {
 		p, err := ByName[*Endpoint](name)
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestLeavingFullAndTooSmallGetNothing(t *testing.T) {
+func TestUnsuitableEndpointsGetNoTasks(t *testing.T) {
 	is := is.New(t)
 	tab := NewTable(Least[*Endpoint]{})
 	tab.Update(now.Add(-time.Minute), infos(2), all)
@@ -69,10 +69,9 @@
 	is.Equal(tab.Acquire(now.Add(time.Second), job.Size{Cores: 64}, 0).Addr, addr(1))
 }
 
-// Symptom: refusals flood a domain right after a VM left, and jobs miss their
-// deadlines with no retry left. Sequence: the new home sends a task to every slot of
-// endpoints where the old home's tasks still run. Cause: what it doesn't know counts
-// as free.
+// Guards against a flood of refusals right after a VM left, with jobs that miss their
+// deadlines for lack of retries: the new home sends a task to every slot of endpoints
+// where tasks of the old home still run, because it counts unknown slots as free.
 func TestTakenOverEndpointsRampUp(t *testing.T) {
 	is := is.New(t)
 	tab := NewTable(Least[*Endpoint]{})
@@ -84,16 +83,16 @@
 		return k
 	}
 	is.Equal(count(now), 1)
-	is.Equal(count(now.Add(2*regrow)), 2)
-	tab.Find(addr(0)).Full(now.Add(2 * regrow)) // the third was refused
+	is.Equal(count(now.Add(2*slotRegrowth)), 2)
+	tab.Find(addr(0)).Full(now.Add(2 * slotRegrowth)) // the third was refused
 	tab.Find(addr(0)).Release()
-	is.Equal(count(now.Add(2*regrow)), 0)
-	is.Equal(count(now.Add(3*regrow)), 1)
+	is.Equal(count(now.Add(2*slotRegrowth)), 0)
+	is.Equal(count(now.Add(3*slotRegrowth)), 1)
 	is.Equal(count(now.Add(time.Minute)), 5)
 }
 
-// Symptom: a lost VM makes half of all endpoints change homes, and refusals
-// flood the domain. Sequence: one VM leaves the view. Cause: hashing by modulus.
+// Guards against a flood of refusals after the loss of one VM: with hashing by modulus,
+// half of all endpoints would change homes.
 func TestOnlyTheLostVMsEndpointsMove(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 9).Draw(t, "vms")
--- a/internal/task/place/policy.go
+++ b/internal/task/place/policy.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 )
 
-// Candidate is what a policy may look at.
+// Candidate is an endpoint as a policy sees it.
 type Candidate interface {
 	Busy() int
 	Limit() int
@@ -31,16 +31,16 @@
 // Pick implements Policy.
 func (p *Robin[E]) Pick(free []E) int { return int(p.n.Add(1) % uint64(len(free))) }
 
-// Least picks the least used candidate, a slow one counting as more used.
+// Least picks the least used candidate; a slow one counts as more used.
 type Least[E Candidate] struct{}
 
-// Pick implements Policy; it starts anywhere, so that ties don't pile up.
+// Pick implements Policy. It starts at a random index, so that ties don't always go to the same candidate.
 func (Least[E]) Pick(free []E) int {
-	at := rand.IntN(len(free))
-	best, low := at, cost(free[at])
+	start := rand.IntN(len(free))
+	best, lowest := start, cost(free[start])
 	for i := range free {
-		if c := cost(free[i]); c < low {
-			best, low = i, c
+		if c := cost(free[i]); c < lowest {
+			best, lowest = i, c
 		}
 	}
 	return best
@@ -58,13 +58,13 @@
 	return a
 }
 
-// cost ranks a candidate by use and slowness in whole numbers.
+// cost ranks a candidate by use and slowness, as an integer.
 func cost[E Candidate](e E) int {
 	return (e.Busy() + 1) * 1000 * e.Slow() / max(e.Limit(), 1)
 }
 
-// Names of the policies in settings. Homes is Least over the endpoints that this
-// VM is the home of; the others share all endpoints of the failure domain.
+// Names of the policies in settings. Homes is Least over the endpoints whose home is
+// this VM; the others use all endpoints of the failure domain.
 const (
 	Homes      = "homes"
 	LeastName  = "least"
@@ -73,10 +73,10 @@
 	RandomName = "random"
 )
 
-// Names lists the policies for error texts and tables.
+// Names lists the policies, for error messages and tables.
 var Names = []string{Homes, LeastName, TwoName, RobinName, RandomName}
 
-// ByName returns the policy with a name.
+// ByName returns the policy with the given name.
 func ByName[E Candidate](name string) (Policy[E], error) {
 	switch name {
 	case Homes, LeastName:
--- a/internal/task/place/table.go
+++ b/internal/task/place/table.go
@@ -10,7 +10,7 @@
 	"dahliawinch/internal/task/job"
 )
 
-// Table is a VM's endpoints; a request reads a snapshot and takes no lock.
+// Table holds the endpoints that a VM knows; requests read a snapshot without a lock.
 type Table struct {
 	policy  Policy[*Endpoint]
 	mu      sync.Mutex // one writer at a time
@@ -19,9 +19,9 @@
 }
 
 type snapshot struct {
-	all  map[netip.AddrPort]*Endpoint
-	mine []*Endpoint
-	most job.Size // the most that any endpoint has, anywhere
+	all     map[netip.AddrPort]*Endpoint
+	own     []*Endpoint
+	maxSize job.Size // largest amount of each resource on any endpoint
 }
 
 // NewTable returns an empty table.
@@ -31,15 +31,15 @@
 	return t
 }
 
-// Update takes over a new list; own says which endpoints this VM may send to.
-// Endpoints that stay keep their slots in use; ones that come anew start with few,
-// since another VM may have work there.
+// Update replaces the list of endpoints; own returns which of them this VM may send to.
+// Endpoints that stay keep their slots in use. New ones start with one slot, since
+// another VM may have work there.
 func (t *Table) Update(now time.Time, list []Info, own func(Info) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	old := t.snap.Load()
-	had := make(map[netip.AddrPort]bool, len(old.mine))
-	for _, e := range old.mine {
+	had := make(map[netip.AddrPort]bool, len(old.own))
+	for _, e := range old.own {
 		had[e.Addr] = true
 	}
 	next := &snapshot{all: make(map[netip.AddrPort]*Endpoint, len(list))}
@@ -49,10 +49,10 @@
 			e = NewEndpoint(in)
 		}
 		next.all[in.Addr] = e
-		next.most = job.Size{
-			Cores:  max(next.most.Cores, in.Size.Cores),
-			Memory: max(next.most.Memory, in.Size.Memory),
-			Accels: max(next.most.Accels, in.Size.Accels),
+		next.maxSize = job.Size{
+			Cores:  max(next.maxSize.Cores, in.Size.Cores),
+			Memory: max(next.maxSize.Memory, in.Size.Memory),
+			Accels: max(next.maxSize.Accels, in.Size.Accels),
 		}
 		if !own(in) {
 			continue
@@ -60,7 +60,7 @@
 		if !had[in.Addr] {
 			e.Ramp(now)
 		}
-		next.mine = append(next.mine, e)
+		next.own = append(next.own, e)
 	}
 	t.snap.Store(next)
 }
@@ -68,18 +68,18 @@
 // Find returns an endpoint by address, or nil.
 func (t *Table) Find(a netip.AddrPort) *Endpoint { return t.snap.Load().all[a] }
 
-// Mine returns the endpoints that this VM may send to; the caller must not change it.
-func (t *Table) Mine() []*Endpoint { return t.snap.Load().mine }
+// Own returns the endpoints that this VM may send to; the caller must not modify the slice.
+func (t *Table) Mine() []*Endpoint { return t.snap.Load().own }
 
-// Known is the number of endpoints in the list.
+// Known returns the number of listed endpoints.
 func (t *Table) Known() int { return len(t.snap.Load().all) }
 
-// Most is the most of each resource that any known endpoint has.
-func (t *Table) Most() job.Size { return t.snap.Load().most }
+// MaxSize returns the largest amount of each resource on any listed endpoint.
+func (t *Table) Most() job.Size { return t.snap.Load().maxSize }
 
-// Slots returns the slots this VM may use by health, and how many are free.
+// Slots returns the number of slots that health allows this VM, and how many are free.
 func (t *Table) Slots(now time.Time) (limit, free int) {
-	for _, e := range t.snap.Load().mine {
+	for _, e := range t.snap.Load().own {
 		if e.Leaving() {
 			continue
 		}
@@ -89,15 +89,15 @@
 	return limit, free
 }
 
-// Acquire claims a slot for a task, leaving at least keep slots free; nil if
-// there is none.
+// Acquire claims a slot for a task if more than keep slots are free. It returns nil
+// if there is none.
 func (t *Table) Acquire(now time.Time, need job.Size, keep int) *Endpoint {
 	list := t.scratch.Get()
 	defer func() { t.scratch.Put(list[:0]) }()
-	for range 4 { // another thread may take the slot first
+	for range 4 { // another goroutine may take the slot first
 		list = list[:0]
 		total := 0
-		for _, e := range t.snap.Load().mine {
+		for _, e := range t.snap.Load().own {
 			n := e.Free(now)
 			total += n
 			if n > 0 && need.Fits(e.Size) {
@@ -107,7 +107,7 @@
 		if total <= keep || len(list) == 0 {
 			return nil
 		}
-		if e := list[t.policy.Pick(list)]; e.take(now) {
+		if e := list[t.policy.Pick(list)]; e.tryAcquire(now) {
 			return e
 		}
 	}
--- a/internal/task/queue/entry.go
+++ b/internal/task/queue/entry.go
@@ -1,5 +1,5 @@
-// Package queue orders jobs that wait for slots: fair between tenants, and by
-// job rather than by task, since a job is answered when its last task is.
+// Package queue orders jobs that wait for slots: fairly between tenants, and by
+// job rather than by task, since a job is answered only when its last task ends.
 package queue
 
 import (
@@ -14,13 +14,13 @@
 	Tenant string
 	Weight float64       // of the tenant
 	Cost   time.Duration // expected run time of one task
-	Tasks  int           // of the whole job, started or not
-	Due    time.Time     // the answer is of no use after this
+	Tasks  int           // all tasks of the job, started or not
+	Due    time.Time     // the answer is useless after this
 
 	left int
-	key  time.Duration
+	rank time.Duration
 	slot heap.Slot
 }
 
-// Left is the number of tasks that still wait.
+// Left returns the number of tasks that still wait.
 func (e *Entry[T]) Left() int { return e.left }
--- a/internal/task/queue/queue.go
+++ b/internal/task/queue/queue.go
@@ -9,14 +9,14 @@
 	"dahliawinch/internal/base/heap"
 )
 
-// Order says how jobs of tenants within their fair share are ranked.
+// Order configures how jobs of tenants within their fair share are ranked.
 type Order struct {
-	// Spread is the slot count over which a job's work is assumed to spread; a
-	// job's rank is its arrival plus Stretch times the time its work takes there.
+	// Spread is the number of slots over which a job's work is assumed to spread. A
+	// job's rank is its arrival plus Stretch times the time that its work takes on them.
 	Spread  float64
 	Stretch float64
-	// Lead is how much slot time per weight a tenant may be ahead of the one
-	// furthest behind before its jobs wait.
+	// Lead is how much slot time per weight a tenant may be ahead of the least
+	// served tenant before its jobs wait.
 	Lead time.Duration
 }
 
@@ -33,41 +33,41 @@
 }
 
 type tenant[T any] struct {
-	name   string
-	served time.Duration // slot time per weight, in the queue's virtual time
-	jobs   *heap.Heap[*Entry[T]]
-	at     int  // index in active, or -1
-	open   bool // within its quota, as of the last look
+	name     string
+	served   time.Duration // slot time per weight, in the queue's virtual time
+	jobs     *heap.Heap[*Entry[T]]
+	index    int  // position in active, or -1
+	eligible bool // within its quota, as of the last pick
 }
 
-// New returns an empty queue; epoch only anchors ranks.
+// New returns an empty queue; ranks are relative to epoch.
 func New[T any](epoch time.Time, order Order) *Queue[T] {
 	return &Queue[T]{order: order, epoch: epoch, tenants: map[string]*tenant[T]{}}
 }
 
-// Tasks is the number of waiting tasks.
+// Tasks returns the number of waiting tasks.
 func (q *Queue[T]) Tasks() int { return int(q.tasks.Load()) }
 
-// Backlog is the expected slot time of the waiting tasks.
+// Backlog returns the expected slot time of the waiting tasks.
 func (q *Queue[T]) Backlog() time.Duration { return time.Duration(q.backlog.Load()) }
 
-// Push adds a job all of whose tasks wait.
+// Push adds a job with all of its tasks waiting.
 func (q *Queue[T]) Push(now time.Time, e *Entry[T]) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	work := time.Duration(float64(e.Cost) * float64(e.Tasks) * q.order.Stretch / max(q.order.Spread, 1))
-	e.key = now.Sub(q.epoch) + work
+	e.rank = now.Sub(q.epoch) + work
 	e.left = e.Tasks
 	q.insert(e)
 	q.account(e, e.Tasks)
 }
 
-// Next takes one task of the job that goes first; ok is false if none waits of a
-// tenant that open lets through.
-func (q *Queue[T]) Next(open func(tenant string) bool) (e *Entry[T], ok bool) {
+// Next removes one task of the first job in order. ok is false if no task waits of a
+// tenant for which mayStart returns true.
+func (q *Queue[T]) Next(mayStart func(tenant string) bool) (e *Entry[T], ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	t := q.first(open)
+	t := q.pick(mayStart)
 	if t == nil {
 		return nil, false
 	}
@@ -76,16 +76,16 @@
 	t.served += time.Duration(float64(e.Cost) / max(e.Weight, minWeight))
 	if e.left == 0 {
 		t.jobs.Pop()
-		q.retire(t)
+		q.deactivate(t)
 	}
 	q.account(e, -1)
 	return e, true
 }
 
-// minWeight keeps a zero weight from stopping a tenant for ever.
+// minWeight keeps a tenant with weight zero from being blocked forever.
 const minWeight = 0.01
 
-// Return puts back one task that Next took and that proved not to have started.
+// Return puts back one task from Next that provably did not start.
 func (q *Queue[T]) Return(e *Entry[T]) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -98,7 +98,7 @@
 	q.account(e, 1)
 }
 
-// Drop takes a job's waiting tasks out and returns how many there were.
+// Drop removes a job's waiting tasks and returns their number.
 func (q *Queue[T]) Drop(e *Entry[T]) int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -109,68 +109,68 @@
 	e.left = 0
 	t := q.tenants[e.Tenant]
 	t.jobs.Remove(e)
-	q.retire(t)
+	q.deactivate(t)
 	q.account(e, -n)
 	return n
 }
 
-// insert makes a tenant that was idle start level with the others: idle time
-// must not be saved up into a burst that starves them.
+// insert adds a job. A tenant that was idle starts level with the least served one, so
+// that idle time doesn't add up to a burst that starves the others.
 func (q *Queue[T]) insert(e *Entry[T]) {
 	t := q.tenants[e.Tenant]
 	if t == nil {
-		t = &tenant[T]{name: e.Tenant, at: -1}
+		t = &tenant[T]{name: e.Tenant, index: -1}
 		t.jobs = heap.New(
-			func(a, b *Entry[T]) bool { return a.key < b.key },
+			func(a, b *Entry[T]) bool { return a.rank < b.rank },
 			func(e *Entry[T]) *heap.Slot { return &e.slot },
 		)
 		q.tenants[e.Tenant] = t
 	}
-	if t.at < 0 {
+	if t.index < 0 {
 		t.served = max(t.served, q.virtual)
-		t.at = len(q.active)
+		t.index = len(q.active)
 		q.active = append(q.active, t)
 	}
 	t.jobs.Push(e)
 }
 
-func (q *Queue[T]) retire(t *tenant[T]) {
-	if t.jobs.Len() > 0 || t.at < 0 {
+func (q *Queue[T]) deactivate(t *tenant[T]) {
+	if t.jobs.Len() > 0 || t.index < 0 {
 		return
 	}
 	last := q.active[len(q.active)-1]
-	q.active[t.at] = last
-	last.at = t.at
+	q.active[t.index] = last
+	last.index = t.index
 	q.active = q.active[:len(q.active)-1]
-	t.at = -1
+	t.index = -1
 	if t.served <= q.virtual {
 		delete(q.tenants, t.name)
 	}
 }
 
-// first picks the tenant whose best job ranks first among those not ahead of
-// their share by more than the lead.
-func (q *Queue[T]) first(open func(string) bool) *tenant[T] {
+// pick returns the tenant whose best job ranks first, among the tenants that are not
+// ahead of their share by more than Order.Lead.
+func (q *Queue[T]) pick(mayStart func(string) bool) *tenant[T] {
 	if len(q.active) == 0 {
 		return nil
 	}
-	least := time.Duration(math.MaxInt64)
+	minServed := time.Duration(math.MaxInt64)
 	for _, t := range q.active {
-		t.open = open(t.name)
-		if t.open {
-			least = min(least, t.served)
+		t.eligible = mayStart(t.name)
+		if t.eligible {
+			minServed = min(minServed, t.served)
 		}
 	}
-	if least == math.MaxInt64 {
+	if minServed == math.MaxInt64 {
 		return nil
 	}
-	q.virtual = max(q.virtual, least)
+	q.virtual = max(q.virtual, minServed)
 	var best *tenant[T]
 	for _, t := range q.active {
-		if !t.open || t.served-least > q.order.Lead {
+		if !t.eligible || t.served-minServed > q.order.Lead {
 			continue
 		}
-		if best == nil || t.jobs.Peek().key < best.jobs.Peek().key {
+		if best == nil || t.jobs.Peek().rank < best.jobs.Peek().rank {
 			best = t
 		}
 	}
--- a/internal/task/queue/queue_test.go
+++ b/internal/task/queue/queue_test.go
@@ -20,8 +20,8 @@
 	return &Entry[string]{Job: tenant, Tenant: tenant, Weight: weight, Cost: 200 * time.Millisecond, Tasks: tasks}
 }
 
-// Symptom: one tenant's flood starves another, or a light tenant gets more than
-// its weight. Sequence: both keep a backlog. Cause: jobs are taken by arrival.
+// Guards against a tenant whose flood starves another, or who gets more than its
+// weight, while both have a backlog: jobs must not be served by arrival alone.
 func TestBackloggedTenantsShareByWeight(t *testing.T) {
 	is := is.New(t)
 	q := New[string](epoch, order)
@@ -41,7 +41,7 @@
 	is.True(ratio > 2.5 && ratio < 3.5)
 }
 
-func TestTenantOverItsQuotaHoldsUpNobody(t *testing.T) {
+func TestTenantOverQuotaBlocksNobody(t *testing.T) {
 	is := is.New(t)
 	q := New[string](epoch, order)
 	q.Push(epoch, entry("a", 5, 1))
@@ -54,7 +54,7 @@
 	is.Equal(q.Tasks(), 9)
 }
 
-func TestSmallJobGoesBeforeLargeOneOfTheSameMoment(t *testing.T) {
+func TestSmallJobGoesBeforeLargeOne(t *testing.T) {
 	is := is.New(t)
 	q := New[string](epoch, order)
 	q.Push(epoch, entry("a", 500, 1))
@@ -63,10 +63,10 @@
 	is.Equal(e.Tenant, "b")
 }
 
-// Symptom: slots stand empty beside waiting tasks, or a cancelled job's task
-// starts. Sequence: any mix of arrivals, starts, returns and cancellations.
-// Cause: the counts disagree with what the heaps hold.
-func TestNothingIsLostOrKept(t *testing.T) {
+// Guards against idle slots while tasks wait, and against starts of cancelled jobs:
+// for any mix of arrivals, starts, returns and cancellations the counts must match
+// the heaps.
+func TestCountsMatchWaitingTasks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New[string](epoch, order)
 		now := epoch
@@ -89,10 +89,10 @@
 			case 2:
 				e, ok := q.Next(all)
 				if ok != (total() > 0) {
-					t.Fatalf("next is %v with %d waiting", ok, total())
+					t.Fatalf("Next returned %v with %d tasks waiting", ok, total())
 				}
 				if ok && (dropped[e] || waiting[e] == 0) {
-					t.Fatal("a task that does not wait was taken")
+					t.Fatal("Next returned a task that does not wait")
 				}
 				if ok {
 					waiting[e]--
@@ -111,7 +111,7 @@
 				for e, k := range waiting {
 					if k > 0 {
 						if got := q.Drop(e); got != k {
-							t.Fatalf("dropped %d of %d", got, k)
+							t.Fatalf("dropped %d tasks, %d waited", got, k)
 						}
 						waiting[e] = 0
 						dropped[e] = true
@@ -120,7 +120,7 @@
 				}
 			}
 			if q.Tasks() != total() {
-				t.Fatalf("%d counted, %d waiting", q.Tasks(), total())
+				t.Fatalf("Tasks returned %d, %d wait", q.Tasks(), total())
 			}
 		}
 	})
--- a/internal/task/route/route.go
+++ b/internal/task/route/route.go
@@ -1,10 +1,10 @@
-// Package route picks the VM that a job is sent to, from what the owners of endpoints
-// last told of their load.
+// Package route picks the VM that a job is sent to, from the latest load reports of the
+// owners of endpoints.
 //
-// The load pattern it answers: each owner's pool is small, so that bursts fill one while
-// others have room, and what a VM knows of the others is tens of milliseconds old. The
-// wait is therefore predicted from cores and core-seconds with what this VM itself has
-// sent since, and a pool that refuses is followed by the next best.
+// Each owner's pool is small, so bursts fill one while others have free cores, and load
+// reports are tens of milliseconds old. The wait is therefore predicted from cores and
+// core-seconds, including the jobs this VM has sent since the report. If a pool refuses a
+// job, the next best is tried.
 package route
 
 import (
@@ -14,57 +14,57 @@
 )
 
 const (
-	// Tries is how many owners are asked before a caller is refused: each costs a
-	// message there and back.
+	// MaxTries is how many owners are tried before a caller is refused: each costs a
+	// round trip.
 	Tries = 4
-	// stale is the age at which an owner's word is no longer believed, at least; staleBy
-	// is the same in times that it takes to the next word.
-	stale   = 400 * time.Millisecond
-	staleBy = 2.5
-	// away is what another failure domain costs in time: two messages.
-	away = 2 * time.Millisecond
+	// A load report expires at the age of staleFactor times the report interval, but
+	// not before minStale.
+	minStale    = 400 * time.Millisecond
+	staleFactor = 2.5
+	// domainCost is the extra latency of another failure domain: two messages.
+	domainCost = 2 * time.Millisecond
 )
 
-// Load is an owner's last word.
+// Load is an owner's latest load report.
 type Load struct {
 	At    time.Time
-	Free  float64       // cores that a job could use
-	Total float64       // cores open to work
-	Ahead [3]float64    // core-seconds before a job of a rank
-	Lag   time.Duration // what an order takes there
+	Free  float64       // cores free for jobs
+	Total float64       // cores usable for jobs
+	Ahead [3]float64    // core-seconds queued before a new job, by its rank
+	Lag   time.Duration // latency of an order sent by that owner
 	Near  bool          // in this VM's failure domain, or this VM itself
-	Next  time.Duration // until the next word
-	sent  float64       // cores of jobs sent there since
+	Next  time.Duration // time until the next report
+	sent  float64       // cores of jobs sent there since the report
 }
 
-// downFor is how long an owner is left out that could not be reached, though it may
-// still be heard: a cut may be one way.
-const downFor = 500 * time.Millisecond
+// unreachableFor is how long an unreachable owner is skipped, even if its reports still
+// arrive: a network cut may affect one direction only.
+const unreachableFor = 500 * time.Millisecond
 
-// Table of the owners as one VM knows them; the caller serializes all calls.
+// Table holds the owners' loads as one VM knows them; the caller serializes all calls.
 type Table struct {
-	self netip.AddrPort
-	all  map[netip.AddrPort]*Load
-	down map[netip.AddrPort]time.Time // could not be reached, since when
-	lags []time.Duration              // filled anew for each job
+	self        netip.AddrPort
+	all         map[netip.AddrPort]*Load
+	unreachable map[netip.AddrPort]time.Time // time of the last failure to reach an owner
+	latencies   []time.Duration              // scratch space of medianLatency
 }
 
-// New returns an empty table of a VM.
+// New returns an empty table for the VM at address self.
 func New(self netip.AddrPort) *Table {
-	return &Table{self: self, all: map[netip.AddrPort]*Load{}, down: map[netip.AddrPort]time.Time{}}
+	return &Table{self: self, all: map[netip.AddrPort]*Load{}, unreachable: map[netip.AddrPort]time.Time{}}
 }
 
-// Down notes that an owner could not be reached.
-func (t *Table) Down(vm netip.AddrPort, now time.Time) { t.down[vm] = now }
+// MarkUnreachable records that an owner could not be reached.
+func (t *Table) Down(vm netip.AddrPort, now time.Time) { t.unreachable[vm] = now }
 
-// open reports whether a job may be sent to an owner.
-func (t *Table) open(vm netip.AddrPort, l *Load, now time.Time) bool {
-	at, down := t.down[vm]
-	old := max(stale, time.Duration(staleBy*float64(l.Next)))
-	return now.Sub(l.At) <= old && (!down || now.Sub(at) > downFor)
+// usable reports whether a job may be sent to an owner.
+func (t *Table) usable(vm netip.AddrPort, l *Load, now time.Time) bool {
+	at, unreachable := t.unreachable[vm]
+	maxAge := max(minStale, time.Duration(staleFactor*float64(l.Next)))
+	return now.Sub(l.At) <= maxAge && (!unreachable || now.Sub(at) > unreachableFor)
 }
 
-// Hear takes in an owner's word.
+// Update applies an owner's load report; an owner without cores is removed.
 func (t *Table) Hear(vm netip.AddrPort, l Load) {
 	if l.Total <= 0 {
 		delete(t.all, vm)
@@ -73,95 +73,94 @@
 	t.all[vm] = &l
 }
 
-// Forget drops a VM.
+// Forget removes a VM.
 func (t *Table) Forget(vm netip.AddrPort) { delete(t.all, vm) }
 
-// Sent notes a job on its way to an owner.
+// RecordSent counts the cores of a job sent to an owner.
 func (t *Table) Sent(vm netip.AddrPort, cores float64) {
 	if l := t.all[vm]; l != nil {
 		l.sent += cores
 	}
 }
 
-// Pick returns the best owner for a job that was not tried yet; invalid if there is none. An order
-// takes this VM so long now.
+// Pick returns the best owner for a job that is not in tried, or an invalid address if there is none.
+// orderLatency is the current latency of orders sent by this VM.
 //
-// What goes wrong if only the owners' room counts: on a narrow link a job that is handed over waits
-// there behind orders, and its answer does so at the owner, 68 ms each way on a calm day, though this
-// VM has room for it itself. One notices jobs that are done in time and answered late. Worth of a
-// calm day, of one with a loss of all VMs and of one with bursts on links of 2 Mbit/s: 0.872, 0.534,
-// 0.660 to 0.886, 0.626, 0.706 (one play each).
-func (t *Table) Pick(now time.Time, rank int, cores float64, tried []netip.AddrPort, order time.Duration) (best netip.AddrPort) {
-	var low time.Duration
-	lag := lagOver * t.lag(now)
-	hand := handOver * max(0, order-leastLag)
+// If only the owners' load counted, a job handed off over a narrow link would wait there behind orders,
+// and so would its answer at the owner, 68 ms each way on a calm day, even if this VM could run it
+// itself: jobs are done in time and answered late. Counting the handoff raised the score on links of
+// 2 Mbit/s from 0.872 to 0.886 for a calm day, from 0.534 to 0.626 with a loss of all VMs, and from
+// 0.660 to 0.706 with bursts (one simulation each).
+func (t *Table) Pick(now time.Time, rank int, cores float64, tried []netip.AddrPort, orderLatency time.Duration) (best netip.AddrPort) {
+	var lowest time.Duration
+	allowed := latencyFactor * t.medianLatency(now)
+	handoffCost := handoffFactor * max(0, orderLatency-minLatency)
 	for vm, l := range t.all {
-		if slices.Contains(tried, vm) || !t.open(vm, l, now) {
+		if slices.Contains(tried, vm) || !t.usable(vm, l, now) {
 			continue
 		}
-		w := l.wait(rank, cores) + max(0, l.Lag-lag)
+		w := l.wait(rank, cores) + max(0, l.Lag-allowed)
 		if vm != t.self {
-			w += hand
+			w += handoffCost
 		}
-		if !best.IsValid() || w < low || (w == low && vm.Compare(best) < 0) {
-			best, low = vm, w
+		if !best.IsValid() || w < lowest || (w == lowest && vm.Compare(best) < 0) {
+			best, lowest = vm, w
 		}
 	}
 	return best
 }
 
-// handOver is how many times what an order takes beyond the usual a job takes that is handed over:
-// its way there, and its answer's.
-const handOver = 2
+// handoffFactor is how many times a handed-off job pays for the excess order latency: once on its way
+// to the owner and once for its answer.
+const handoffFactor = 2
 
-// lagOver is how many times what orders take the other owners an order must take one for it to
-// count as slow.
+// latencyFactor is the multiple of the median order latency above which an owner's latency counts.
 //
-// What goes wrong without it: an owner whose link or processor has turned slow has endpoints with
-// room and can't use them, so it gets ever more jobs. One notices late jobs of one owner. An owner
-// of four that can send ten times less: 0.99 instead of 0.91 in aim (eight plays in virtual time).
-// To count all differences is worse than none: they pass sooner than they are told, and all jobs go
-// to whoever was quickest, 0.72 instead of 0.89 of a calm day's worth on links of 2 Mbit/s.
-const lagOver = 3
-
-// lag is what orders take half of the owners at most.
-func (t *Table) lag(now time.Time) time.Duration {
-	t.lags = t.lags[:0]
+// An owner with a slow link or processor can't use its free endpoints, so it would attract ever more
+// jobs, and they would be late. With one owner of four that can send ten times less, 0.99 of the jobs
+// meet their objective instead of 0.91 (eight simulations in virtual time). Counting all differences
+// is worse than counting none: they pass sooner than they are reported, and all jobs go to the owner
+// that was fastest, which scores 0.72 instead of 0.89 for a calm day on links of 2 Mbit/s.
+const latencyFactor = 3
+
+// medianLatency returns the median order latency of the usable owners, at least minLatency.
+func (t *Table) medianLatency(now time.Time) time.Duration {
+	t.latencies = t.latencies[:0]
 	for vm, l := range t.all {
-		if t.open(vm, l, now) {
-			t.lags = append(t.lags, l.Lag)
+		if t.usable(vm, l, now) {
+			t.latencies = append(t.latencies, l.Lag)
 		}
 	}
-	if len(t.lags) == 0 {
+	if len(t.latencies) == 0 {
 		return 0
 	}
-	slices.Sort(t.lags)
-	return max(leastLag, t.lags[(len(t.lags)-1)/2])
+	slices.Sort(t.latencies)
+	return max(minLatency, t.latencies[(len(t.latencies)-1)/2])
 }
 
-// leastLag is what an order takes a VM with time and bandwidth to spare.
-const leastLag = 5 * time.Millisecond
+// minLatency is the latency of an order of a VM with spare processor time and bandwidth.
+const minLatency = 5 * time.Millisecond
 
-// mean is the time in which a pool's cores are thought to turn over once.
-const mean = 250 * time.Millisecond
+// turnover is the assumed time in which all of a pool's cores come free once.
+const turnover = 250 * time.Millisecond
 
-// wait predicts a job's wait at an owner. Full pools rank by how much is ahead, pools
-// with room by how full they would be, so that load spreads before anything waits.
+// wait predicts a job's wait at an owner. Full pools rank by the work queued ahead, others
+// by how full they would be, so that load spreads before anything waits.
 func (l *Load) wait(rank int, cores float64) time.Duration {
 	ahead := l.Ahead[min(rank, len(l.Ahead)-1)]
-	lack := max(0, cores+l.sent-l.Free)
-	w := time.Duration((ahead/l.Total + lack/l.Total*mean.Seconds()) * float64(time.Second))
+	shortage := max(0, cores+l.sent-l.Free)
+	w := time.Duration((ahead/l.Total + shortage/l.Total*turnover.Seconds()) * float64(time.Second))
 	if !l.Near {
-		w += away
+		w += domainCost
 	}
 	used := 1 - (l.Free-l.sent-cores)/l.Total
-	return w + time.Duration(used*float64(away))
+	return w + time.Duration(used*float64(domainCost))
 }
 
-// Known is the number of owners whose word is fresh and that can be reached.
+// Known returns the number of reachable owners with a current load report.
 func (t *Table) Known(now time.Time) (n int) {
 	for vm, l := range t.all {
-		if t.open(vm, l, now) {
+		if t.usable(vm, l, now) {
 			n++
 		}
 	}
