--- a/internal/task/budget/budget_test.go
+++ b/internal/task/budget/budget_test.go
@@ -7,10 +7,10 @@
 	"pgregory.net/rapid"
 )
 
-// Symptom: endpoints that are full get several times the load they refused.
-// Sequence: every refusal is tried again at once, and refused again. Cause:
-// retries without a bound tied to first tries.
-func TestRetriesStayUnderRatioPlusFloor(t *testing.T) {
+// Guards against full endpoints that get several times the load they refused:
+// without a bound tied to first tries, every refusal is retried at once and refused
+// again.
+func TestRetriesStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const ratio, floor, top = 0.1, 5, 20
 		began := time.Unix(1000, 0)
@@ -40,9 +40,9 @@
 	})
 }
 
-// Symptom: tasks wait for retries though their domain refuses nothing. Sequence:
-// another failure domain refuses everything it is given. Cause: one budget for all.
-func TestOneDomainCantSpendTheOthersRetries(t *testing.T) {
+// Guards against tasks that wait for retries although their domain refuses nothing:
+// another failure domain refuses everything and uses up a budget shared by all.
+func TestDomainCannotUseOthersRetries(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := NewSet(now, 0.1, 0, 20)
 	spent := 0
--- a/internal/task/budget/set.go
+++ b/internal/task/budget/set.go
@@ -6,47 +6,47 @@
 )
 
 // Set holds a budget for a VM and one for each failure domain that it sends to, so
-// that a domain whose endpoints refuse everything can't use up the retries of the
-// others.
+// that a domain whose endpoints refuse everything can't use up the retries of other
+// domains.
 type Set struct {
-	vm    *Budget
-	ratio float64
-	floor float64
-	top   float64
-	mu    sync.Mutex
-	parts map[string]*Budget
+	vm        *Budget
+	ratio     float64
+	perSecond float64
+	capacity  float64
+	mu        sync.Mutex
+	domains   map[string]*Budget
 }
 
-// mostParts bounds the memory; further domains share the VM's budget only.
-const mostParts = 1024
+// maxDomains bounds the memory; further domains use only the VM's budget.
+const maxDomains = 1024
 
-// NewSet returns full budgets; those of domains are as large as the VM's.
-func NewSet(now time.Time, ratio, floor, top float64) *Set {
-	return &Set{vm: New(now, ratio, floor, top), ratio: ratio, floor: floor, top: top, parts: map[string]*Budget{}}
+// NewSet returns full budgets; those of domains have half the capacity of the VM's.
+func NewSet(now time.Time, ratio, perSecond, capacity float64) *Set {
+	return &Set{vm: New(now, ratio, perSecond, capacity), ratio: ratio, perSecond: perSecond, capacity: capacity, domains: map[string]*Budget{}}
 }
 
-func (s *Set) part(now time.Time, domain string) *Budget {
+func (s *Set) domainBudget(now time.Time, domain string) *Budget {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	b := s.parts[domain]
-	if b == nil && len(s.parts) < mostParts {
-		b = New(now, s.ratio, s.floor, s.top/2)
-		s.parts[domain] = b
+	b := s.domains[domain]
+	if b == nil && len(s.domains) < maxDomains {
+		b = New(now, s.ratio, s.perSecond, s.capacity/2)
+		s.domains[domain] = b
 	}
 	return b
 }
 
-// Earn notes n first tries in a domain.
+// Earn adds the retries for n first tries in a domain.
 func (s *Set) Earn(now time.Time, domain string, n int) {
 	s.vm.Earn(n)
-	if b := s.part(now, domain); b != nil {
+	if b := s.domainBudget(now, domain); b != nil {
 		b.Earn(n)
 	}
 }
 
-// Spend takes one retry for a task that a domain refused.
+// Spend uses one retry for a task that a domain refused and reports whether there was one.
 func (s *Set) Spend(now time.Time, domain string) bool {
-	if b := s.part(now, domain); b != nil && !b.Spend(now) {
+	if b := s.domainBudget(now, domain); b != nil && !b.Spend(now) {
 		return false
 	}
 	return s.vm.Spend(now)
--- a/internal/task/ticket/bench_test.go
+++ b/internal/task/ticket/bench_test.go
@@ -6,8 +6,8 @@
 	"dahliawinch/internal/task/job"
 )
 
-// BenchmarkUse issues, uses and ends one ticket; its bytes are what a used ticket
-// holds until its term is over.
+// BenchmarkUse issues, uses and ends one ticket; its bytes are the memory held for a
+// used ticket until its term is over.
 func BenchmarkUse(b *testing.B) {
 	book := NewBook(self, 1, []byte("s"), Limits{Term: 1 << 40, Uses: 1 << 30, Bytes: 1 << 40})
 	a := &job.Answer{Outcome: job.Done}
--- a/internal/task/ticket/book.go
+++ b/internal/task/ticket/book.go
@@ -10,49 +10,48 @@
 	"dahliawinch/internal/task/job"
 )
 
-// Verdict says what a VM may do with a ticket.
+// Verdict is the result of a ticket check: what the VM may do with the ticket.
 type Verdict uint8
 
 // The verdicts.
 const (
 	Fresh     Verdict = iota // never used: the caller of Claim may start work, once
 	Running                  // in use: wait for the same answer
-	Ended                    // used, and the answer is at hand
+	Ended                    // used, and the answer is available
 	Forgotten                // used, and the answer is no longer held
-	Late                     // ended before this claim, and whether it was used isn't remembered
-	Elsewhere                // of another VM or incarnation
-	Forged                   // never issued, or to another tenant
-	Full                     // the book holds all it may: nothing was started
-	Misused                  // used before for another request
+	Late                     // expired before this claim, and no longer known whether it was used
+	Elsewhere                // issued by another VM or incarnation
+	Forged                   // never issued, or issued to another tenant
+	Full                     // the store is at its limit: nothing was started
+	Misused                  // already used for a different request
 )
 
-// Use is what the book remembers of one used ticket.
+// Use is the record of one used ticket.
 type Use struct {
-	mark    uint64
+	digest  uint64
 	done    chan struct{}
 	answer  *job.Answer
 	outcome job.Outcome
 	ended   time.Time
-	hold    time.Duration
+	holdFor time.Duration
 }
 
-// Done is closed when the answer is there.
+// Done returns a channel that is closed once the answer is available.
 func (u *Use) Done() <-chan struct{} { return u.done }
 
-// Limits bound the book.
+// Limits bounds a Store.
 type Limits struct {
-	Term  time.Duration // how long a ticket may start work
-	Uses  int           // used tickets remembered
-	Bytes int64         // of answers held
+	Term  time.Duration // how long a ticket is valid for starting work
+	Uses  int           // max used tickets remembered
+	Bytes int64         // max total size of held answers
 }
 
-// Book issues tickets and remembers which were used.
+// Store issues tickets and remembers which were used.
 //
-// What may go wrong: a used ticket is forgotten, comes again and starts work a
-// second time. One would notice a second start for one ticket at an endpoint.
-// The book forgets a ticket only after its term, and keeps the lowest sequence
-// that it still remembers: below that floor nothing is fresh, even if the clock
-// steps back.
+// If a used ticket were forgotten and presented again, it would start work a second
+// time: an endpoint would see two starts for one ticket. So the store forgets a ticket
+// only after its term, and keeps the lowest sequence number that it still remembers
+// as floor: below it no ticket is Fresh, even if the clock steps back.
 type Book struct {
 	mu     sync.Mutex
 	self   netip.AddrPort
@@ -62,7 +61,7 @@
 	next   uint64
 	floor  uint64
 	uses   map[uint64]*Use
-	grants []Grant // in order of issue, hence of end
+	grants []Grant // in order of issue, and so of expiry
 	bytes  int64
 	held   []uint64 // sequences with an answer, oldest first
 }
@@ -70,175 +69,175 @@
 // ErrFull is returned when no more tickets can be outstanding.
 var ErrFull = errors.New("too many tickets outstanding")
 
-// NewBook returns the book of one incarnation; secret must be random for each process.
+// NewStore returns the store of one incarnation; secret must be random for each process.
 func NewBook(self netip.AddrPort, inc uint64, secret []byte, limits Limits) *Book {
 	return &Book{self: self, inc: inc, secret: secret, limits: limits, uses: map[uint64]*Use{}}
 }
 
 // Issue grants n tickets to a tenant.
-func (b *Book) Issue(now time.Time, tenant string, n int) (string, error) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.purge(now)
-	if len(b.grants) >= b.limits.Uses {
+func (s *Book) Issue(now time.Time, tenant string, n int) (string, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.purge(now)
+	if len(s.grants) >= s.limits.Uses {
 		return "", ErrFull
 	}
-	g := Grant{VM: b.self, Inc: b.inc, Base: b.next, Count: n, Ends: now.Add(b.limits.Term), Tenant: tenant}
-	if k := len(b.grants); k > 0 && g.Ends.Before(b.grants[k-1].Ends) {
-		g.Ends = b.grants[k-1].Ends // the clock stepped back; ends stay in order
+	g := Grant{VM: s.self, Inc: s.inc, Base: s.next, Count: n, Ends: now.Add(s.limits.Term), Tenant: tenant}
+	if k := len(s.grants); k > 0 && g.Ends.Before(s.grants[k-1].Ends) {
+		g.Ends = s.grants[k-1].Ends // the clock stepped back; keep expiry in order
 	}
-	text, err := seal(b.secret, g)
+	text, err := seal(s.secret, g)
 	if err != nil {
 		return "", fmt.Errorf("issue %d tickets: %w", n, err)
 	}
-	b.next += uint64(n)
-	b.grants = append(b.grants, g)
+	s.next += uint64(n)
+	s.grants = append(s.grants, g)
 	return text, nil
 }
 
-// Claim judges a ticket; after Fresh the caller owns the use and must End it.
-// The mark is a digest of the request: the same ticket must not get the answer
-// to another request.
-func (b *Book) Claim(now time.Time, t Ticket, tenant string, mark uint64) (*Use, Verdict) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if v, ok := b.judge(t, tenant); !ok {
+// Claim checks a ticket and marks it as used. After Fresh the caller owns the use and
+// must call End. digest identifies the request: a ticket must not get the answer to a
+// different request.
+func (s *Book) Claim(now time.Time, t Ticket, tenant string, digest uint64) (*Use, Verdict) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if v, ok := s.verify(t, tenant); !ok {
 		return nil, v
 	}
-	b.purge(now)
-	if u := b.uses[t.Seq()]; u != nil {
-		if mark != u.mark {
+	s.purge(now)
+	if u := s.uses[t.Seq()]; u != nil {
+		if digest != u.digest {
 			return nil, Misused
 		}
-		return u, b.look(now, u)
+		return u, s.useState(now, u)
 	}
-	if t.Seq() < b.floor || now.After(t.Ends) {
+	if t.Seq() < s.floor || now.After(t.Ends) {
 		return nil, Late
 	}
-	if len(b.uses) >= b.limits.Uses {
+	if len(s.uses) >= s.limits.Uses {
 		return nil, Full
 	}
-	u := &Use{mark: mark, done: make(chan struct{})}
-	b.uses[t.Seq()] = u
+	u := &Use{digest: digest, done: make(chan struct{})}
+	s.uses[t.Seq()] = u
 	return u, Fresh
 }
 
-// Void asks after a ticket and makes sure that one not used so far never is.
+// Withdraw queries a ticket and, if it was not used, prevents any later use.
 //
-// A copy of the submission may still be on its way. If asking only looked, the
-// caller would be told "not run" and the copy would start afterwards; so a fresh
-// ticket is used up by the question, with a refusal as its answer.
-func (b *Book) Void(now time.Time, t Ticket, tenant string) (*Use, Verdict) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if v, ok := b.judge(t, tenant); !ok {
+// A copy of the submission may still be in transit. If the query only read the state,
+// the caller would get "not run" and the copy would start afterwards. So the query uses
+// up a fresh ticket, with a refusal as its answer.
+func (s *Book) Void(now time.Time, t Ticket, tenant string) (*Use, Verdict) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if v, ok := s.verify(t, tenant); !ok {
 		return nil, v
 	}
-	b.purge(now)
-	if u := b.uses[t.Seq()]; u != nil {
-		return u, b.look(now, u)
+	s.purge(now)
+	if u := s.uses[t.Seq()]; u != nil {
+		return u, s.useState(now, u)
 	}
-	if t.Seq() < b.floor || now.After(t.Ends) {
+	if t.Seq() < s.floor || now.After(t.Ends) {
 		return nil, Late
 	}
-	if len(b.uses) >= b.limits.Uses {
+	if len(s.uses) >= s.limits.Uses {
 		return nil, Full
 	}
-	u := &Use{done: make(chan struct{}), ended: now, hold: b.limits.Term, outcome: job.Refused}
+	u := &Use{done: make(chan struct{}), ended: now, holdFor: s.limits.Term, outcome: job.Refused}
 	u.answer = job.Refuse(job.Withdrawn, 0, "asked after before it was used; it can't be used any more")
 	close(u.done)
-	b.uses[t.Seq()] = u
+	s.uses[t.Seq()] = u
 	return u, Fresh
 }
 
-func (b *Book) judge(t Ticket, tenant string) (Verdict, bool) {
-	if t.VM != b.self || t.Inc != b.inc {
+func (s *Book) verify(t Ticket, tenant string) (Verdict, bool) {
+	if t.VM != s.self || t.Inc != s.inc {
 		return Elsewhere, false
 	}
-	if !t.genuine(b.secret) || t.Tenant != tenant {
+	if !t.authentic(s.secret) || t.Tenant != tenant {
 		return Forged, false
 	}
 	return Fresh, true
 }
 
-func (b *Book) look(now time.Time, u *Use) Verdict {
+func (s *Book) useState(now time.Time, u *Use) Verdict {
 	select {
 	case <-u.done:
 	default:
 		return Running
 	}
-	// A balance read minutes ago is stale credit: past its hold an answer is not given again.
+	// An answer past its hold time is not repeated: a balance read minutes ago is outdated.
 	if u.outcome == job.Refused && u.answer != nil {
-		return Ended // nothing ran, which never grows stale
+		return Ended // nothing ran, and that never becomes outdated
 	}
-	if u.answer == nil || now.Sub(u.ended) > u.hold {
+	if u.answer == nil || now.Sub(u.ended) > u.holdFor {
 		return Forgotten
 	}
 	return Ended
 }
 
-// End stores the answer for as long as its class may hold it.
-func (b *Book) End(now time.Time, t Ticket, u *Use, a *job.Answer, hold time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	u.answer, u.outcome, u.ended, u.hold = a, a.Outcome, now, hold
+// End stores the answer of a use for the hold time of its class.
+func (s *Book) End(now time.Time, t Ticket, u *Use, a *job.Answer, hold time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	u.answer, u.outcome, u.ended, u.holdFor = a, a.Outcome, now, hold
 	close(u.done)
-	if b.uses[t.Seq()] != u {
-		return // its term ended while it ran; later claims are told "late"
+	if s.uses[t.Seq()] != u {
+		return // its term ended while it ran; later claims get Late
 	}
-	b.bytes += size(a)
-	b.held = append(b.held, t.Seq())
-	for b.bytes > b.limits.Bytes && len(b.held) > 0 {
-		b.drop(b.held[0])
-		b.held = b.held[1:]
+	s.bytes += answerBytes(a)
+	s.held = append(s.held, t.Seq())
+	for s.bytes > s.limits.Bytes && len(s.held) > 0 {
+		s.dropAnswer(s.held[0])
+		s.held = s.held[1:]
 	}
 }
 
-// Answer returns the held answer of an ended use, or nil.
-func (b *Book) Answer(u *Use) *job.Answer {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// Answer returns the answer of an ended use, or nil if it is not held.
+func (s *Book) Answer(u *Use) *job.Answer {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	return u.answer
 }
 
-// Outcome returns how an ended use ended, even when the answer is not held.
-func (b *Book) Outcome(u *Use) job.Outcome {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// Outcome returns the outcome of an ended use, even if the answer is no longer held.
+func (s *Book) Outcome(u *Use) job.Outcome {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	return u.outcome
 }
 
-// Uses returns how many used tickets are remembered.
-func (b *Book) Uses() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return len(b.uses)
+// Uses returns the number of used tickets that are remembered.
+func (s *Book) Uses() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.uses)
 }
 
-func (b *Book) drop(seq uint64) {
-	if u := b.uses[seq]; u != nil && u.answer != nil {
-		b.bytes -= size(u.answer)
+func (s *Book) dropAnswer(seq uint64) {
+	if u := s.uses[seq]; u != nil && u.answer != nil {
+		s.bytes -= answerBytes(u.answer)
 		u.answer = nil
 	}
 }
 
-// purge forgets grants whose term is over, except uses that still run.
-func (b *Book) purge(now time.Time) {
-	for len(b.grants) > 0 && now.After(b.grants[0].Ends) {
-		g := b.grants[0]
-		b.grants = b.grants[1:]
-		b.floor = g.Base + uint64(g.Count)
-		for seq := g.Base; seq < b.floor; seq++ {
-			b.drop(seq)
-			delete(b.uses, seq)
+// purge forgets the grants whose term is over, with their uses and answers.
+func (s *Book) purge(now time.Time) {
+	for len(s.grants) > 0 && now.After(s.grants[0].Ends) {
+		g := s.grants[0]
+		s.grants = s.grants[1:]
+		s.floor = g.Base + uint64(g.Count)
+		for seq := g.Base; seq < s.floor; seq++ {
+			s.dropAnswer(seq)
+			delete(s.uses, seq)
 		}
 	}
-	for len(b.held) > 0 && b.held[0] < b.floor {
-		b.held = b.held[1:]
+	for len(s.held) > 0 && s.held[0] < s.floor {
+		s.held = s.held[1:]
 	}
 }
 
-func size(a *job.Answer) int64 {
+func answerBytes(a *job.Answer) int64 {
 	n := int64(len(a.Detail)) + 64
 	for _, r := range a.Results {
 		n += int64(len(r))
--- a/internal/task/ticket/book_test.go
+++ b/internal/task/ticket/book_test.go
@@ -32,10 +32,10 @@
 	return tk
 }
 
-// Symptom: a top-up is applied twice. Sequence: any mix of claims, answers,
-// clock steps both ways and floods of other tickets. Cause: a used ticket was
-// forgotten while it could still start work.
-func TestOneStartPerTicketForever(t *testing.T) {
+// Guards against work that starts twice for one ticket, such as a top-up applied twice:
+// for any mix of claims, answers, clock steps both ways and floods of other tickets, a
+// used ticket must not be forgotten while it can still start work.
+func TestTicketStartsWorkOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		b := open(t, 1, Limits{Term: time.Minute, Uses: 8, Bytes: 300})
 		now := began
@@ -62,9 +62,9 @@
 				if len(tickets) > 0 && rapid.IntRange(0, 9).Draw(rt, "ask") == 0 {
 					tk := rapid.SampledFrom(tickets).Draw(rt, "asked")
 					if _, v := b.Void(now, tk, "prairie"); v == Fresh {
-						starts[tk.Seq()]++ // "not run" was said: counts as its one use
+						starts[tk.Seq()]++ // the caller got "not run": counts as its one use
 						if starts[tk.Seq()] > 1 {
-							rt.Fatalf("ticket %d was voided after a start", tk.Seq())
+							rt.Fatalf("ticket %d was withdrawn after a start", tk.Seq())
 						}
 					}
 				}
@@ -92,7 +92,7 @@
 	})
 }
 
-func TestAnswerIsGivenAgainOnlyWhileYoung(t *testing.T) {
+func TestAnswerIsRepeatedOnlyWhileHeld(t *testing.T) {
 	is := is.New(t)
 	b := open(t, 1, wide)
 	g, err := b.Issue(began, "prairie", 1)
@@ -107,13 +107,13 @@
 	is.Equal(v, Ended)
 	is.Equal(string(b.Answer(u).Results[0]), "12.50")
 	_, v = b.Claim(began.Add(3*time.Second), tk, "prairie", 1)
-	is.Equal(v, Forgotten) // an old balance would be stale credit
+	is.Equal(v, Forgotten) // an old balance would be outdated
 }
 
-// Symptom: a caller is told "not run" and is charged all the same. Sequence: its
-// submission is delayed, it asks after the ticket, then the submission arrives.
-// Cause: asking only looked.
-func TestAskingUsesUpAFreshTicket(t *testing.T) {
+// Guards against a caller who is answered "not run" and charged anyway: its submission
+// is delayed, it queries the ticket, then the submission arrives. The query must make
+// the ticket unusable.
+func TestQueryWithdrawsFreshTicket(t *testing.T) {
 	is := is.New(t)
 	b := open(t, 1, wide)
 	g, err := b.Issue(began, "prairie", 1)
@@ -124,7 +124,7 @@
 	is.Equal(v, Ended)
 }
 
-func TestTicketUsedForAnotherRequest(t *testing.T) {
+func TestTicketIsRejectedForAnotherRequest(t *testing.T) {
 	is := is.New(t)
 	b := open(t, 1, wide)
 	g, err := b.Issue(began, "prairie", 1)
@@ -135,7 +135,7 @@
 	is.Equal(v, Misused)
 }
 
-func TestForgedForeignAndBrokenTickets(t *testing.T) {
+func TestInvalidTicketsAreRejected(t *testing.T) {
 	is := is.New(t)
 	b := open(t, 1, wide)
 	g, err := b.Issue(began, "prairie", 2)
--- a/internal/task/ticket/held_test.go
+++ b/internal/task/ticket/held_test.go
@@ -7,8 +7,8 @@
 	"dahliawinch/internal/task/job"
 )
 
-// BenchmarkHeld reports the memory that stays for a used ticket whose answer is an
-// empty one, as B/ticket.
+// BenchmarkHeld reports the memory held for a used ticket with an empty answer, as
+// B/ticket.
 func BenchmarkHeld(b *testing.B) {
 	const uses = 100_000
 	live := func() float64 {
--- a/internal/task/ticket/ticket.go
+++ b/internal/task/ticket/ticket.go
@@ -1,10 +1,10 @@
-// Package ticket makes sure that a submission sent again never starts again.
+// Package ticket ensures that a resubmission never starts work a second time.
 //
-// A ticket is handed out by one incarnation of one VM, and only that incarnation
-// may start work under it. Other VMs forward it there; when that incarnation is
-// gone they answer "unknown, nothing started here". This needs no agreement
-// between VMs and holds in every partition. docs/notes/tickets.md weighs it
-// against keys homed by hashing and claims on the log.
+// A ticket is issued by one incarnation of one VM, and only that incarnation may
+// start work for it. Other VMs forward it there; if that incarnation is gone they
+// answer "unknown, nothing started here". This needs no consensus between VMs and
+// holds in every partition. docs/notes/tickets.md compares it with idempotency keys
+// assigned to VMs by hashing and with claims on the log.
 package ticket
 
 import (
@@ -24,22 +24,22 @@
 const (
 	// macSize is the length of the truncated HMAC-SHA256 of a grant.
 	macSize = 16
-	// maxText bounds what is decoded, since a ticket comes from outside.
-	maxText = 512
+	// maxTextBytes bounds the text to decode, since tickets come from untrusted callers.
+	maxTextBytes = 512
 )
 
-// Grant is a range of tickets.
+// Grant is a range of tickets issued to one tenant.
 type Grant struct {
 	_msgpack struct{}       `msgpack:",as_array"` //nolint:unused // the codec reads this tag
 	VM       netip.AddrPort // the mesh address of the VM that issued it
 	Inc      uint64         // its incarnation
 	Base     uint64         // sequence number of the first ticket
 	Count    int            // tickets in the range
-	Ends     time.Time      // no start under it after this
+	Ends     time.Time      // no start is allowed after this
 	Tenant   string
 }
 
-// Ticket is one of a grant's tickets as a caller presents it.
+// Ticket is one ticket of a grant, as presented by a caller.
 type Ticket struct {
 	Grant
 	Nth int
@@ -47,15 +47,15 @@
 	mac []byte
 }
 
-// Seq is the ticket's number, unique within the incarnation.
+// Seq returns the ticket's sequence number, unique within the incarnation.
 func (t Ticket) Seq() uint64 { return t.Base + uint64(t.Nth) }
 
-// ErrForm is returned for text that is no ticket.
+// ErrForm is returned for text that is not a valid ticket.
 var ErrForm = errors.New("not a ticket")
 
-// Parse decodes a ticket without judging it; only its issuer can check the MAC.
+// Parse decodes a ticket without verifying it; only its issuer can check the MAC.
 func Parse(text string) (Ticket, error) {
-	if len(text) > maxText {
+	if len(text) > maxTextBytes {
 		return Ticket{}, fmt.Errorf("%d characters: %w", len(text), ErrForm)
 	}
 	head, nth, ok := strings.Cut(text, ".")
@@ -80,7 +80,7 @@
 	return t, nil
 }
 
-// Pick returns the nth ticket of a grant's text.
+// Pick returns the text of the nth ticket of a grant.
 func Pick(grant string, nth int) string { return grant + "." + strconv.Itoa(nth) }
 
 func seal(secret []byte, g Grant) (string, error) {
@@ -97,4 +97,4 @@
 	return m.Sum(nil)[:macSize]
 }
 
-func (t Ticket) genuine(secret []byte) bool { return hmac.Equal(t.mac, sign(secret, t.raw)) }
+func (t Ticket) authentic(secret []byte) bool { return hmac.Equal(t.mac, sign(secret, t.raw)) }
