--- a/internal/base/heap/heap.go
+++ b/internal/base/heap/heap.go
@@ -1,83 +1,83 @@
-// Package heap is a binary heap of any type whose elements know their place, so
-// that removing one from the middle costs no search.
+// Package heap is a generic binary heap whose elements store their position, so
+// that removing one from the middle needs no search.
 package heap
 
-// Slot is the place of an element; the zero value means "in no heap".
-type Slot struct{ at int }
+// Slot is an element's position in a heap, counted from 1; the zero value means "in no heap".
+type Slot struct{ pos int }
 
-// Heap keeps the least element at hand.
+// Heap is a binary min-heap.
 type Heap[T comparable] struct {
-	less func(a, b T) bool
-	slot func(T) *Slot
-	all  []T
+	less  func(a, b T) bool
+	slot  func(T) *Slot
+	items []T
 }
 
-// New returns an empty heap ordered by less; slot finds the place kept in an element.
+// New returns an empty heap ordered by less; slot returns the Slot stored in an element.
 func New[T comparable](less func(a, b T) bool, slot func(T) *Slot) *Heap[T] {
 	return &Heap[T]{less: less, slot: slot}
 }
 
 // Len returns the number of elements.
-func (h *Heap[T]) Len() int { return len(h.all) }
+func (h *Heap[T]) Len() int { return len(h.items) }
 
-// All returns the elements in heap order; the caller must not change it.
-func (h *Heap[T]) All() []T { return h.all }
+// All returns the elements in heap order; the caller must not change the slice.
+func (h *Heap[T]) All() []T { return h.items }
 
 // Push adds v.
 func (h *Heap[T]) Push(v T) {
-	h.all = append(h.all, v)
-	h.slot(v).at = len(h.all)
-	h.up(len(h.all) - 1)
+	h.items = append(h.items, v)
+	h.slot(v).pos = len(h.items)
+	h.up(len(h.items) - 1)
 }
 
 // Peek returns the least element or the zero value.
 func (h *Heap[T]) Peek() T {
 	var zero T
-	if len(h.all) == 0 {
+	if len(h.items) == 0 {
 		return zero
 	}
-	return h.all[0]
+	return h.items[0]
 }
 
 // Pop removes and returns the least element or the zero value.
 func (h *Heap[T]) Pop() T {
 	v := h.Peek()
-	if len(h.all) > 0 {
-		h.cut(0)
+	if len(h.items) > 0 {
+		h.removeAt(0)
 	}
 	return v
 }
 
-// Remove takes v out and reports whether it was in.
+// Remove removes v and reports whether it was in the heap.
 func (h *Heap[T]) Remove(v T) bool {
-	i := h.slot(v).at - 1
-	if i < 0 || i >= len(h.all) || h.all[i] != v {
+	i := h.slot(v).pos - 1
+	if i < 0 || i >= len(h.items) || h.items[i] != v {
 		return false
 	}
-	h.cut(i)
+	h.removeAt(i)
 	return true
 }
 
-// Fix restores the order after v changed its rank.
+// Fix restores the order after v's rank changed.
 func (h *Heap[T]) Fix(v T) {
-	i := h.slot(v).at - 1
-	if i < 0 || i >= len(h.all) || h.all[i] != v {
+	i := h.slot(v).pos - 1
+	if i < 0 || i >= len(h.items) || h.items[i] != v {
 		return
 	}
 	h.down(i)
 	h.up(i)
 }
 
-func (h *Heap[T]) cut(i int) {
+func (h *Heap[T]) removeAt(i int) {
 	var zero T
-	last := len(h.all) - 1
-	h.slot(h.all[i]).at = 0
+	last := len(h.items) - 1
+	h.slot(h.items[i]).pos = 0
 	if i != last {
-		h.all[i] = h.all[last]
-		h.slot(h.all[i]).at = i + 1
+		h.items[i] = h.items[last]
+		h.slot(h.items[i]).pos = i + 1
 	}
-	h.all[last] = zero
-	h.all = h.all[:last]
+	h.items[last] = zero
+	h.items = h.items[:last]
 	if i < last {
 		h.down(i)
 		h.up(i)
@@ -86,34 +86,34 @@
 
 func (h *Heap[T]) up(i int) {
 	for i > 0 {
-		p := (i - 1) / 2
-		if !h.less(h.all[i], h.all[p]) {
+		parent := (i - 1) / 2
+		if !h.less(h.items[i], h.items[parent]) {
 			return
 		}
-		h.swap(i, p)
-		i = p
+		h.swap(i, parent)
+		i = parent
 	}
 }
 
 func (h *Heap[T]) down(i int) {
 	for {
-		c := 2*i + 1
-		if c >= len(h.all) {
+		child := 2*i + 1
+		if child >= len(h.items) {
 			return
 		}
-		if c+1 < len(h.all) && h.less(h.all[c+1], h.all[c]) {
-			c++
+		if child+1 < len(h.items) && h.less(h.items[child+1], h.items[child]) {
+			child++
 		}
-		if !h.less(h.all[c], h.all[i]) {
+		if !h.less(h.items[child], h.items[i]) {
 			return
 		}
-		h.swap(i, c)
-		i = c
+		h.swap(i, child)
+		i = child
 	}
 }
 
 func (h *Heap[T]) swap(i, j int) {
-	h.all[i], h.all[j] = h.all[j], h.all[i]
-	h.slot(h.all[i]).at = i + 1
-	h.slot(h.all[j]).at = j + 1
+	h.items[i], h.items[j] = h.items[j], h.items[i]
+	h.slot(h.items[i]).pos = i + 1
+	h.slot(h.items[j]).pos = j + 1
 }
--- a/internal/base/meter/meter.go
+++ b/internal/base/meter/meter.go
@@ -1,5 +1,5 @@
-// Package meter counts what operators and tests look at: histograms per tenant
-// and class, outcomes, and messages that did no work.
+// Package meter holds the metrics for operators and tests: histograms per tenant and class,
+// outcomes, and wasted messages.
 package meter
 
 import (
@@ -13,10 +13,10 @@
 	"dahliawinch/internal/task/job"
 )
 
-// Cause of a wasted message: one that neither starts a task nor brings a result.
+// Cause says why a message was wasted: it neither started a task nor delivered a result.
 type Cause uint8
 
-// The causes.
+// Causes of wasted messages.
 const (
 	Probe Cause = iota
 	Refusal
@@ -41,8 +41,8 @@
 	return all
 }
 
-// mostTenants bounds the label sets; further tenants share the label "other".
-const mostTenants = 490
+// maxTenants bounds the label values; further tenants share the label "other".
+const maxTenants = 490
 
 // Meter holds one VM's metrics.
 type Meter struct {
@@ -93,41 +93,41 @@
 	return m
 }
 
-// Waste counts n wasted messages.
+// AddWasted counts n wasted messages.
 func (m *Meter) Waste(c Cause, n int) { m.wasted[c].Add(int64(n)) }
 
-// Wasted returns the count of one cause.
+// Wasted returns the wasted messages of one cause.
 func (m *Meter) Wasted(c Cause) int64 { return m.wasted[c].Load() }
 
-// Start counts an attempt that was sent.
+// AddStart counts an attempt that was sent.
 func (m *Meter) Start() { m.starts.Add(1) }
 
-// Starts returns the attempts sent.
+// Starts returns how many attempts were sent.
 func (m *Meter) Starts() int64 { return m.starts.Load() }
 
-// Outlived records how long after its last keepalive the last run of a job ended.
+// ObserveOutlived records how long after its job's last keepalive the last run ended.
 func (m *Meter) Outlived(d time.Duration) { m.outlived.Observe(d.Seconds()) }
 
-// Control counts bytes between entry VMs.
+// AddControlBytes counts bytes between entry VMs; way is their direction.
 func (m *Meter) Control(purpose, way string, n int) {
 	m.control.WithLabelValues(purpose, way).Add(float64(n))
 }
 
-// Gauge registers a gauge that is read when asked for.
+// Gauge registers a gauge; fn is called at each scrape.
 func (m *Meter) Gauge(name, help string, fn func() float64) {
 	m.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "dahliawinch_" + name, Help: help}, fn))
 }
 
-// Ran records one finished task.
+// ObserveTask records one finished task.
 func (m *Meter) Ran(tenant, class string, wait, run time.Duration) {
-	tenant = m.label(tenant)
+	tenant = m.tenantLabel(tenant)
 	m.wait.WithLabelValues(tenant, class).Observe(wait.Seconds())
 	m.run.WithLabelValues(tenant, class).Observe(run.Seconds())
 }
 
-// Answered records one answered job; longest is its longest task.
+// ObserveJob records one answered job; longest is the run time of its longest task.
 func (m *Meter) Answered(tenant, class string, a *job.Answer, took, longest time.Duration) {
-	tenant = m.label(tenant)
+	tenant = m.tenantLabel(tenant)
 	m.outcomes.WithLabelValues(tenant, class, a.Outcome.String(), string(a.Reason)).Inc()
 	if a.Outcome != job.Done {
 		return
@@ -138,13 +138,13 @@
 	}
 }
 
-func (m *Meter) label(tenant string) string {
+func (m *Meter) tenantLabel(tenant string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.tenants[tenant] {
 		return tenant
 	}
-	if len(m.tenants) >= mostTenants {
+	if len(m.tenants) >= maxTenants {
 		return "other"
 	}
 	m.tenants[tenant] = true
--- a/internal/base/pace/pace_test.go
+++ b/internal/base/pace/pace_test.go
@@ -8,9 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// Symptom: after a burst a VM stays overloaded for ever. Sequence: its processor is busy,
-// answers take longer than the time-out, each order is stopped, looked at and given again.
-// Cause: the time-out doesn't follow the time that orders take.
+// Guards against a VM that stays overloaded for ever after a burst: its processor is busy, answers
+// take longer than the time-out, and each order is stopped, checked and sent again, because the
+// time-out doesn't follow the time that orders take.
 func TestTimeoutFollowsASlowVM(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_700_000_000, 0)
@@ -33,7 +33,7 @@
 	is.Equal(p.Timeout(), 60*time.Millisecond)
 }
 
-// A few lost orders among many must not make the others wait long.
+// A few lost orders among many must not lengthen the time-out of the others.
 func TestTimeoutStaysShortWithAFewLostOrders(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_700_000_000, 0)
@@ -48,9 +48,9 @@
 	is.Equal(p.Timeout(), 60*time.Millisecond)
 }
 
-// Symptom: while one order in two is lost, each is waited for ten times as long as an
-// answer takes. Sequence: orders go out eight at a time; half are answered at once, the
-// others time out together. Cause: lost orders are taken for a time-out that is too short.
+// Guards against a time-out of ten times an answer's time while one order in two is lost: orders
+// go out eight at a time, half are answered at once, the others time out together, and the losses
+// are taken for a time-out that is too short.
 func TestTimeoutStaysShortWhileHalfOfTheOrdersAreLost(t *testing.T) {
 	is := is.New(t)
 	p := New(25*time.Millisecond, 400*time.Millisecond)
@@ -75,29 +75,29 @@
 	is.True(sum/n < 30*time.Millisecond)
 }
 
-// queue is a link on which each call takes a while and waits for those before it.
-type queue struct{ each, base time.Duration }
+// slowLink is a link on which each call takes perCall and waits for those before it.
+type slowLink struct{ perCall, base time.Duration }
 
-// job sends calls at once and counts those that are given up though they would be answered.
-func (q queue) job(p *Pace, now time.Time, calls int) (lost int) {
+// runJob sends calls at once and counts those that time out though they would be answered.
+func (l slowLink) runJob(p *Pace, now time.Time, calls int) (lost int) {
 	type sent struct {
-		way  int
-		took time.Duration
+		place int
+		took  time.Duration
 	}
 	var all []sent
 	for i := range calls {
 		limit := p.Begin(1)
-		way := p.Send()
-		took := q.base + time.Duration(i+1)*q.each
+		place := p.Send()
+		took := l.base + time.Duration(i+1)*l.perCall
 		if took > limit {
 			lost++
 			p.Miss(now)
 			continue
 		}
-		all = append(all, sent{way, took})
+		all = append(all, sent{place, took})
 	}
 	for _, s := range all {
-		p.Note(now.Add(s.took), s.took, s.way)
+		p.Note(now.Add(s.took), s.took, s.place)
 	}
 	for range calls {
 		p.End()
@@ -105,9 +105,9 @@
 	return lost
 }
 
-// Symptom: in the first seconds of a calm day 127 orders count as unanswered, 20 endpoints as
-// silent. Sequence: jobs of two to sixteen tasks go over a link on which an order takes 2.4 ms.
-// Cause: the time-out of a lone order is that of all, and starts at the least.
+// Guards against false losses at low load: 127 orders counted as unanswered and 20 endpoints as
+// silent in the first seconds. Jobs of two to sixteen tasks used a link on which an order takes
+// 2.4 ms; all orders had the time-out of a lone one, which started at the minimum.
 func TestCallsThatQueueAreNotTakenForLost(t *testing.T) {
 	is := is.New(t)
 	p := New(25*time.Millisecond, 400*time.Millisecond)
@@ -116,37 +116,37 @@
 	for range 200 {
 		n := 2 + r.IntN(15)
 		all += n
-		lost += queue{2400 * time.Microsecond, 3 * time.Millisecond}.job(p, now, n)
+		lost += slowLink{2400 * time.Microsecond, 3 * time.Millisecond}.runJob(p, now, n)
 		now = now.Add(100 * time.Millisecond)
 	}
 	t.Logf("%d of %d calls given up", lost, all)
 	is.True(lost <= all/100)
 }
 
-// On a link with time to spare the number of calls says nothing, and a lost one is noticed soon.
+// On a fast link the number of calls doesn't lengthen the time-out, so a loss is noticed soon.
 func TestTimeoutStaysShortOnAWideLink(t *testing.T) {
 	is := is.New(t)
 	p := New(25*time.Millisecond, 400*time.Millisecond)
 	r := rand.New(rand.NewPCG(3, 4))
 	now := time.Unix(1_700_000_000, 0)
 	for range 200 {
-		queue{20 * time.Microsecond, 3 * time.Millisecond}.job(p, now, 2+r.IntN(15))
+		slowLink{20 * time.Microsecond, 3 * time.Millisecond}.runJob(p, now, 2+r.IntN(15))
 		now = now.Add(100 * time.Millisecond)
 	}
 	limit := p.Begin(1)
 	is.Equal(limit, 25*time.Millisecond)
 }
 
-// Guards against calls that are taken for lost behind many others before any was answered.
-func TestFirstCallsAreGivenTimeByTheirNumber(t *testing.T) {
+// Guards against calls taken for lost that wait behind many others before the first answer.
+func TestInitialTimeoutGrowsWithCalls(t *testing.T) {
 	is := is.New(t)
 	p := New(time.Millisecond, time.Second)
-	is.Equal(p.Begin(firstWay), first)
-	is.Equal(p.Begin(2*firstWay), 3*first)
+	is.Equal(p.Begin(initialCalls), initialTimeout)
+	is.Equal(p.Begin(2*initialCalls), 3*initialTimeout)
 }
 
-// Guards against the calls of a large job that are taken for lost after small ones, whose calls got to the link in any
-// order.
+// Guards against the calls of a large job being taken for lost after small jobs, whose calls reached
+// the link in any order.
 func TestCallsOfALargeJobAreNotTakenForLost(t *testing.T) {
 	const each, base, small, large = 5 * time.Millisecond, 9 * time.Millisecond, 8, 40
 	is := is.New(t)
--- a/internal/base/pool/pool.go
+++ b/internal/base/pool/pool.go
@@ -1,9 +1,9 @@
-// Package pool is a typed pool of scratch values.
+// Package pool is a typed sync.Pool for scratch values.
 package pool
 
 import "sync"
 
-// Pool hands out values for short use.
+// Pool recycles values for short use.
 type Pool[T any] struct {
 	p *sync.Pool
 }
@@ -16,8 +16,8 @@
 	}}}
 }
 
-// Get takes a value.
+// Get returns a recycled or new value.
 func (p Pool[T]) Get() T { return *p.p.Get().(*T) }
 
-// Put gives a value back; the caller must not use it afterwards.
+// Put returns a value to the pool; the caller must not use it afterwards.
 func (p Pool[T]) Put(v T) { p.p.Put(&v) }
--- a/internal/base/sample/handler.go
+++ b/internal/base/sample/handler.go
@@ -1,5 +1,5 @@
-// Package sample keeps floods of like log lines from costing more than the events
-// themselves.
+// Package sample rate-limits repeated log messages, so that logging a flood of events
+// doesn't cost more than the events themselves.
 package sample
 
 import (
@@ -9,38 +9,38 @@
 	"time"
 )
 
-// PerSecond is how many lines of one message are written in a second by New.
+// PerSecond is how many lines of one message a handler from New writes per second.
 const PerSecond = 20
 
-// mostMessages bounds the memory; messages are constants of the program, so this is
-// never reached unless one is built from input.
-const mostMessages = 1024
+// maxMessages bounds the memory for counts; messages are constants of the program, so it is
+// never reached unless a message is built from input.
+const maxMessages = 1024
 
-// Handler passes on the first lines of each message in a second, and then says how
-// many it left out.
+// Handler writes the first lines of each message in a second. The next line that it writes
+// reports how many were omitted.
 type Handler struct {
-	next  slog.Handler
-	state *state
+	next    slog.Handler
+	limiter *limiter
 }
 
-type state struct {
-	most int // lines of one message in a second
-	mu   sync.Mutex
-	all  map[string]*count
+type limiter struct {
+	perSecond int // lines of one message
+	mu        sync.Mutex
+	counts    map[string]*count
 }
 
 type count struct {
 	second  int64
 	written int
-	left    int
+	omitted int
 }
 
-// New wraps a handler.
+// New wraps a handler with a limit of PerSecond.
 func New(next slog.Handler) *Handler { return Limit(next, PerSecond) }
 
-// Limit wraps a handler and passes on so many lines of one message in a second.
-func Limit(next slog.Handler, most int) *Handler {
-	return &Handler{next: next, state: &state{most: most, all: map[string]*count{}}}
+// Limit wraps a handler and writes at most perSecond lines of one message per second.
+func Limit(next slog.Handler, perSecond int) *Handler {
+	return &Handler{next: next, limiter: &limiter{perSecond: perSecond, counts: map[string]*count{}}}
 }
 
 // Enabled implements slog.Handler.
@@ -48,45 +48,45 @@
 
 // Handle implements slog.Handler.
 func (h *Handler) Handle(ctx context.Context, r slog.Record) error {
-	left, ok := h.state.take(r.Message, r.Time)
+	omitted, ok := h.limiter.allow(r.Message, r.Time)
 	if !ok {
 		return nil
 	}
-	if left > 0 {
-		r.AddAttrs(slog.Int("left_out", left))
+	if omitted > 0 {
+		r.AddAttrs(slog.Int("left_out", omitted))
 	}
 	return h.next.Handle(ctx, r) //nolint:wrapcheck // a handler passes errors through
 }
 
 // WithAttrs implements slog.Handler; the counts are shared with the parent.
 func (h *Handler) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &Handler{next: h.next.WithAttrs(attrs), state: h.state}
+	return &Handler{next: h.next.WithAttrs(attrs), limiter: h.limiter}
 }
 
 // WithGroup implements slog.Handler.
 func (h *Handler) WithGroup(name string) slog.Handler {
-	return &Handler{next: h.next.WithGroup(name), state: h.state}
+	return &Handler{next: h.next.WithGroup(name), limiter: h.limiter}
 }
 
-func (s *state) take(msg string, at time.Time) (left int, ok bool) {
+func (s *limiter) allow(msg string, at time.Time) (omitted int, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := s.all[msg]
+	c := s.counts[msg]
 	if c == nil {
-		if len(s.all) >= mostMessages {
-			clear(s.all)
+		if len(s.counts) >= maxMessages {
+			clear(s.counts)
 		}
 		c = &count{}
-		s.all[msg] = c
+		s.counts[msg] = c
 	}
 	if sec := at.Unix(); sec != c.second {
 		c.second, c.written = sec, 0
 	}
-	if c.written >= s.most {
-		c.left++
+	if c.written >= s.perSecond {
+		c.omitted++
 		return 0, false
 	}
 	c.written++
-	left, c.left = c.left, 0
-	return left, true
+	omitted, c.omitted = c.omitted, 0
+	return omitted, true
 }
--- a/internal/base/sample/handler_test.go
+++ b/internal/base/sample/handler_test.go
@@ -11,9 +11,9 @@
 	"github.com/matryer/is"
 )
 
-// Symptom: a VM under a flood of failures spends its time on log lines. Sequence: the
-// same event ten thousand times in a second. Cause: a line for each.
-func TestFloodIsCountedNotWritten(t *testing.T) {
+// Guards against a VM that spends its time on logging during a flood of failures: the same
+// event occurs ten thousand times in a second, with a line for each.
+func TestRepeatedMessageIsLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var out bytes.Buffer
--- a/internal/base/timer/clock.go
+++ b/internal/base/timer/clock.go
@@ -1,5 +1,5 @@
-// Package timer is the one source of time: a clock and a service of timers
-// that the other parts subscribe to.
+// Package timer is the program's only source of time: clocks, and a service that runs timers
+// and reports clock jumps.
 package timer
 
 import (
@@ -9,36 +9,36 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock tells the time; a test replaces it to freeze one VM while others go on.
+// Clock returns the time; a test replaces it to freeze one VM while others run on.
 type Clock interface {
 	Now() time.Time
 }
 
-// Wall is the clock of the process.
+// Wall is the clock of the Go runtime.
 type Wall struct{}
 
 // Now returns the current time with its monotonic reading.
 func (Wall) Now() time.Time { return time.Now() }
 
-// Boot is the clock of a daemon. It starts with the time of day and then goes by the time
-// since the machine booted: steps of the time of day don't move it, and it counts the time
-// for which the VM was suspended, which the process's steady clock leaves out.
+// Boot is the clock of a daemon. It starts at the time of day and then follows the time
+// since the machine booted: steps of the time of day don't move it, and it includes the
+// time for which the VM was suspended, which Go's monotonic clock omits.
 //
-// What goes wrong with the others: a step of the time of day makes every stamp of a peer
-// look seconds old, and what it sends is taken for late; a VM that was suspended takes no
+// With the time of day, a step makes every timestamp of a peer look seconds old, and its
+// messages are taken for late. With the monotonic clock, a VM that was suspended doesn't
 // notice, and acts on leases and jobs that ended meanwhile.
 type Boot struct {
-	began time.Time     // the time of day, without a reading of the steady clock
-	up    time.Duration // of the machine at that time
+	start       time.Time     // time of day, without a monotonic reading
+	startUptime time.Duration // uptime of the machine at start
 }
 
-// NewBoot returns a clock that is right now.
+// NewBoot returns a clock set to the current time of day.
 func NewBoot() (Boot, error) {
 	up, err := uptime()
 	if err != nil {
 		return Boot{}, err
 	}
-	return Boot{began: time.Now().Round(0), up: up}, nil
+	return Boot{start: time.Now().Round(0), startUptime: up}, nil
 }
 
 // Now returns the current time.
@@ -47,7 +47,7 @@
 	if err != nil {
 		return time.Now() // the same call worked in NewBoot
 	}
-	return b.began.Add(up - b.up)
+	return b.start.Add(up - b.startUptime)
 }
 
 func uptime() (time.Duration, error) {
--- a/internal/base/timer/clock_test.go
+++ b/internal/base/timer/clock_test.go
@@ -7,20 +7,20 @@
 	"github.com/matryer/is"
 )
 
-// Symptom: after a step of the time of day a VM refuses every job of another for as long
-// as both live. Cause: stamps are compared with a clock that follows the steps, as times
-// without a reading of the steady clock do.
-func TestBootClockIsSteadyAndComparesByItself(t *testing.T) {
+// Guards against a VM that, after a step of the time of day, refuses every job of another for
+// as long as both live: timestamps were compared with a clock that follows the steps, as times
+// without a monotonic reading do.
+func TestBootClockIgnoresTimeOfDaySteps(t *testing.T) {
 	is := is.New(t)
 	c, err := NewBoot()
 	is.NoErr(err)
 	a := c.Now()
-	is.True(time.Since(a).Abs() < time.Second) // it starts with the time of day
-	is.Equal(a, a.Round(0))                    // and has no second reading that may differ
+	is.True(time.Since(a).Abs() < time.Second) // it starts at the time of day
+	is.Equal(a, a.Round(0))                    // and has no monotonic reading that may differ
 	began := time.Now()
 	time.Sleep(20 * time.Millisecond)
 	took := time.Since(began)
 	is.True((c.Now().Sub(a) - took).Abs() < 10*time.Millisecond)
-	c.began = c.began.Add(-time.Hour) // as if the time of day had been wrong at the start
+	c.start = c.start.Add(-time.Hour) // as if the time of day had been wrong at the start
 	is.True(a.Sub(c.Now()) > 59*time.Minute)
 }
--- a/internal/base/timer/service.go
+++ b/internal/base/timer/service.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// beat is how often the service looks at its own clock for a jump.
-	beat = 250 * time.Millisecond
-	// jumpAfter is the lateness of a beat that counts as a pause of the VM.
-	jumpAfter = time.Second
+	// checkInterval is how often the service checks its clock for a jump.
+	checkInterval = 250 * time.Millisecond
+	// jumpThreshold is how late a check must be to count as a pause of the VM.
+	jumpThreshold = time.Second
 )
 
-// Service runs callbacks at their times and reports pauses of the VM.
+// Service runs callbacks when they are due and reports pauses of the VM.
 //
-// A VM can be paused for seconds (live migration, a frozen hypervisor). What
-// goes wrong then: it wakes up and acts on leases and deadlines that ran out
-// meanwhile. The service notices because its regular beat comes late, and calls
-// the subscribers of OnJump before any other callback that is due.
+// A VM can be paused for seconds (live migration, a frozen hypervisor). It would then
+// resume and act on leases and deadlines that expired meanwhile. The service detects
+// the pause because its regular check is late, and calls the subscribers of OnJump
+// before any other callback that is due.
 type Service struct {
-	clock Clock
-	mu    sync.Mutex
-	due   *heap.Heap[*Timer]
-	wake  chan struct{}
-	jumps []func(gap time.Duration)
+	clock  Clock
+	mu     sync.Mutex
+	due    *heap.Heap[*Timer]
+	wake   chan struct{}
+	onJump []func(gap time.Duration)
 }
 
 // Timer is one pending callback.
@@ -37,7 +37,7 @@
 	slot heap.Slot
 }
 
-// New returns a service on the given clock; Run drives it.
+// New returns a service on the given clock; Run must be called to fire its timers.
 func New(clock Clock) *Service {
 	return &Service{
 		clock: clock,
@@ -52,7 +52,7 @@
 // Now returns the time of the service's clock.
 func (s *Service) Now() time.Time { return s.clock.Now() }
 
-// After calls fn once after d; fn must be short, since callbacks share a goroutine.
+// After calls fn once after d; fn must return quickly, since callbacks share a goroutine.
 func (s *Service) After(d time.Duration, fn func()) *Timer {
 	t := &Timer{at: s.clock.Now().Add(d), fn: fn, s: s}
 	s.mu.Lock()
@@ -60,7 +60,7 @@
 	first := s.due.Peek() == t
 	s.mu.Unlock()
 	if first {
-		s.poke()
+		s.wakeUp()
 	}
 	return t
 }
@@ -78,14 +78,14 @@
 	s.After(period, next)
 }
 
-// OnJump subscribes fn to pauses of the VM.
+// OnJump registers fn to be called after each pause of the VM, with its length.
 func (s *Service) OnJump(fn func(gap time.Duration)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.jumps = append(s.jumps, fn)
+	s.onJump = append(s.onJump, fn)
 }
 
-// Stop withdraws the timer and reports whether it had not run yet.
+// Stop cancels the timer and reports whether it had not run yet.
 func (t *Timer) Stop() bool {
 	if t == nil {
 		return false
@@ -95,19 +95,19 @@
 	return t.s.due.Remove(t)
 }
 
-// Run serves timers until ctx ends.
+// Run fires timers until ctx ends.
 func (s *Service) Run(ctx context.Context) {
 	last := s.clock.Now()
-	sleep := time.NewTimer(beat)
+	sleep := time.NewTimer(checkInterval)
 	defer sleep.Stop()
 	for {
 		now := s.clock.Now()
-		if gap := now.Sub(last); gap > beat+jumpAfter {
-			s.announce(gap)
+		if gap := now.Sub(last); gap > checkInterval+jumpThreshold {
+			s.notifyJump(gap)
 		}
 		last = now
 		s.fire(now)
-		sleep.Reset(s.pause(now))
+		sleep.Reset(s.untilNext(now))
 		select {
 		case <-ctx.Done():
 			return
@@ -117,11 +117,11 @@
 	}
 }
 
-func (s *Service) announce(gap time.Duration) {
+func (s *Service) notifyJump(gap time.Duration) {
 	s.mu.Lock()
-	jumps := append([]func(time.Duration){}, s.jumps...)
+	subscribers := append([]func(time.Duration){}, s.onJump...)
 	s.mu.Unlock()
-	for _, fn := range jumps {
+	for _, fn := range subscribers {
 		fn(gap)
 	}
 }
@@ -140,17 +140,17 @@
 	}
 }
 
-func (s *Service) pause(now time.Time) time.Duration {
+func (s *Service) untilNext(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.due.Peek()
 	if t == nil {
-		return beat
+		return checkInterval
 	}
-	return max(0, min(beat, t.at.Sub(now)))
+	return max(0, min(checkInterval, t.at.Sub(now)))
 }
 
-func (s *Service) poke() {
+func (s *Service) wakeUp() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
--- a/internal/base/timer/service_test.go
+++ b/internal/base/timer/service_test.go
@@ -20,33 +20,33 @@
 		began := time.Now()
 		var took atomic.Int64
 		s.After(70*time.Millisecond, func() { took.Store(int64(time.Since(began))) })
-		gone := s.After(50*time.Millisecond, func() { t.Error("a stopped timer ran") })
-		is.True(gone.Stop())
-		is.True(!gone.Stop())
+		stopped := s.After(50*time.Millisecond, func() { t.Error("a stopped timer ran") })
+		is.True(stopped.Stop())
+		is.True(!stopped.Stop())
 		time.Sleep(time.Second)
 		is.Equal(time.Duration(took.Load()), 70*time.Millisecond)
 	})
 }
 
-// stuck is the clock of a VM that can be paused: Now does not return meanwhile.
-type stuck struct{ until atomic.Int64 }
+// pausableClock is the clock of a VM that can be paused: Now does not return meanwhile.
+type pausableClock struct{ until atomic.Int64 }
 
-func (c *stuck) Now() time.Time {
+func (c *pausableClock) Now() time.Time {
 	if d := time.Until(time.Unix(0, c.until.Load())); d > 0 {
 		time.Sleep(d)
 	}
 	return time.Now()
 }
 
-// Symptom: after a live migration a VM sends work whose deadline has passed.
-// Sequence: a timer is set, the VM is paused past it, the VM resumes and runs
-// what is due. Cause: nothing told the parts that time had jumped.
+// Guards against a VM that sends work past its deadline after a live migration: a timer
+// is set, the VM is paused past it, resumes and runs what is due, without notice that
+// time has jumped.
 func TestPauseIsAnnouncedBeforeLateCallbacks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		clock := &stuck{}
+		clock := &pausableClock{}
 		s := New(clock)
 		var order []string
 		s.OnJump(func(gap time.Duration) {
