--- a/internal/conf/doc/bench_test.go
+++ b/internal/conf/doc/bench_test.go
@@ -10,7 +10,7 @@
 	"dahliawinch/internal/conf/valid"
 )
 
-// BenchmarkParse validates a document with a number of tenants.
+// BenchmarkParse parses documents with few and with many tenants.
 func BenchmarkParse(b *testing.B) {
 	for _, n := range []int{4, 490} {
 		d := &Document{
--- a/internal/conf/doc/doc.go
+++ b/internal/conf/doc/doc.go
@@ -1,5 +1,5 @@
-// Package doc is the one declared document of a service: its types, its defaults
-// and its validator, which console, command line and daemon share.
+// Package doc defines the declared document of a service: its types and its
+// validator, which console, command line and daemon share.
 package doc
 
 import (
@@ -12,28 +12,28 @@
 	"dahliawinch/internal/conf/valid"
 )
 
-// Document is what operators declare for one service.
+// Document is the configuration that operators declare for one service.
 type Document struct {
 	Service   string            `json:"service"`
 	Classes   map[string]Class  `json:"classes"`
 	Tenants   map[string]Tenant `json:"tenants"`
 	Endpoints Endpoints         `json:"endpoints"`
 	Limits    Limits            `json:"limits"`
-	Reserve   float64           `json:"reserve"` // part of the slots kept for urgent work
-	// Patience is how long routine work may wait in its failure domain rather than
-	// cost messages to others; bulk work waits longer, urgent work not at all.
+	Reserve   float64           `json:"reserve"` // share of the slots kept for urgent work
+	// Patience is how long routine work may wait in its failure domain before messages to
+	// other domains are spent on it; bulk work waits longer, urgent work not at all.
 	Patience valid.Span `json:"patience"`
 }
 
-// Class is a way to treat jobs.
+// Class sets how jobs of one kind are treated.
 type Class struct {
 	Band     job.Band   `json:"band"`
-	Deadline valid.Span `json:"deadline"`       // of jobs that name none
-	Once     bool       `json:"once,omitempty"` // non-idempotent: a ticket is needed
-	Hold     valid.Span `json:"hold,omitempty"` // how long an answer may be given again
+	Deadline valid.Span `json:"deadline"`       // default for jobs that set none
+	Once     bool       `json:"once,omitempty"` // non-idempotent: jobs need a ticket
+	Hold     valid.Span `json:"hold,omitempty"` // how long an answer may be replayed
 }
 
-// Tenant is a team with its share.
+// Tenant is a client account with its share and quota.
 type Tenant struct {
 	Weight float64  `json:"weight"`
 	Rate   float64  `json:"rate,omitempty"`  // task starts per second over all VMs, 0 for no limit
@@ -42,36 +42,36 @@
 	Paused bool     `json:"paused,omitempty"`
 }
 
-// Endpoints selects which of the platform's endpoints serve.
+// Endpoints selects which of the platform's endpoints are used.
 type Endpoints struct {
 	Domains []string         `json:"domains,omitempty"` // failure domains; empty for all
-	Drain   []netip.AddrPort `json:"drain,omitempty"`   // get no new work
+	Drain   []netip.AddrPort `json:"drain,omitempty"`   // endpoints that get no new work
 }
 
-// Limits bound a submission.
+// Limits bound one submission.
 type Limits struct {
 	Tasks    int        `json:"tasks"`
 	Bytes    int64      `json:"bytes"`
-	Deadline valid.Span `json:"deadline"` // the longest that a job may ask for
+	Deadline valid.Span `json:"deadline"` // longest deadline that a job may set
 }
 
 // Bounds of what a document may declare.
 const (
-	MostTasks   = 520
-	MostBytes   = 16 << 20
-	MostTenants = 490
-	MostClasses = 32
-	MostKeys    = 8
-	keyHex      = 64
-	MaxText     = 1 << 20
+	MostTasks  = 520
+	MostBytes  = 16 << 20
+	MaxTenants = 490
+	MaxClasses = 32
+	MaxKeys    = 8
+	keyHexLen  = 64
+	MaxText    = 1 << 20
 )
 
-// Parse reads and validates a document.
+// Parse decodes and validates a document.
 func Parse(text []byte) (*Document, error) {
 	if len(text) > MaxText {
 		return nil, valid.Invalid(valid.Bad("document", fmt.Sprintf("%d bytes", len(text)), fmt.Sprintf("keep it under %d", MaxText)))
 	}
-	if ps := shape(text); len(ps) > 0 {
+	if ps := checkSchema(text); len(ps) > 0 {
 		return nil, valid.Invalid(ps...)
 	}
 	d := &Document{}
@@ -84,7 +84,7 @@
 	return d, nil
 }
 
-// Encode writes the document as it is published.
+// Encode returns the document in its published form.
 func (d *Document) Encode() ([]byte, error) {
 	text, err := json.MarshalIndent(d, "", "  ")
 	if err != nil {
--- a/internal/conf/doc/doc_test.go
+++ b/internal/conf/doc/doc_test.go
@@ -27,11 +27,11 @@
 		is.NoErr(err)
 		again, err := d.Encode()
 		is.NoErr(err)
-		is.Equal(strings.TrimSpace(string(text)), string(again)) // what is published is what was written
+		is.Equal(strings.TrimSpace(string(text)), string(again)) // encoding returns the same text
 	}
 }
 
-func TestProblemsNameFieldAndMend(t *testing.T) {
+func TestProblemsNameFieldAndFix(t *testing.T) {
 	files, err := filepath.Glob("testdata/invalid/*.json")
 	if err != nil || len(files) < 5 {
 		t.Fatalf("%d invalid documents, %v", len(files), err)
--- a/internal/conf/doc/keys.go
+++ b/internal/conf/doc/keys.go
@@ -7,7 +7,7 @@
 	"hash/maphash"
 )
 
-// Hash is what a document holds of a key.
+// Hash returns the form in which a document stores a key: its SHA-256 in hex.
 func Hash(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
@@ -15,32 +15,32 @@
 
 // Keyring finds the tenant of a key.
 //
-// Hashes are looked up under a seed that is random for each keyring and compared in
-// constant time: the time of an answer tells nothing of a key, and finding one among
-// 490 tenants costs no walk over all of them.
+// Hashes are indexed with a seed that is random for each keyring and compared in
+// constant time: the response time reveals nothing about a key, and a lookup among
+// 490 tenants needs no scan.
 type Keyring struct {
 	seed    maphash.Seed
-	entries map[uint64][]holder
+	entries map[uint64][]keyEntry
 }
 
-type holder struct {
+type keyEntry struct {
 	hash   []byte
 	tenant string
 }
 
 // NewKeyring indexes the keys of a document.
 func NewKeyring(d *Document) *Keyring {
-	r := &Keyring{seed: maphash.MakeSeed(), entries: map[uint64][]holder{}}
+	r := &Keyring{seed: maphash.MakeSeed(), entries: map[uint64][]keyEntry{}}
 	for name, t := range d.Tenants {
 		for _, k := range t.Keys {
-			at := maphash.String(r.seed, k)
-			r.entries[at] = append(r.entries[at], holder{[]byte(k), name})
+			bucket := maphash.String(r.seed, k)
+			r.entries[bucket] = append(r.entries[bucket], keyEntry{[]byte(k), name})
 		}
 	}
 	return r
 }
 
-// Tenant returns whose key it is.
+// Tenant returns the tenant that a key belongs to.
 func (r *Keyring) Tenant(key string) (name string, ok bool) {
 	sum := Hash(key)
 	for _, h := range r.entries[maphash.String(r.seed, sum)] {
--- a/internal/conf/doc/schema.go
+++ b/internal/conf/doc/schema.go
@@ -2,7 +2,7 @@
 
 import (
 	"bytes"
-	_ "embed" // the schema is a file of its own, for editors and consoles
+	_ "embed" // the schema is a separate file, for editors and consoles
 	"errors"
 	"fmt"
 	"slices"
@@ -18,10 +18,10 @@
 //go:embed schema.json
 var schemaText []byte
 
-// Schema is the JSON Schema of a document.
+// Schema returns the JSON Schema of a document.
 func Schema() []byte { return bytes.Clone(schemaText) }
 
-var compiled = sync.OnceValues(func() (*jsonschema.Schema, error) {
+var compiledSchema = sync.OnceValues(func() (*jsonschema.Schema, error) {
 	const name = "schema.json"
 	text, err := jsonschema.UnmarshalJSON(bytes.NewReader(schemaText))
 	if err != nil {
@@ -38,9 +38,9 @@
 	return s, nil
 })
 
-// shape checks a document's JSON against the schema: fields, types, names.
-func shape(text []byte) []valid.Problem {
-	s, err := compiled()
+// checkSchema checks a document's JSON against the schema: fields, types, names.
+func checkSchema(text []byte) []valid.Problem {
+	s, err := compiledSchema()
 	if err != nil {
 		return []valid.Problem{valid.Bad("document", err.Error(), "this program is broken; report it")}
 	}
@@ -50,55 +50,55 @@
 	}
 	var bad *jsonschema.ValidationError
 	if errors.As(s.Validate(value), &bad) {
-		ps := leaves(bad)
+		ps := leafProblems(bad)
 		slices.SortStableFunc(ps, func(a, b valid.Problem) int { return strings.Compare(a.Field, b.Field) })
 		return ps
 	}
 	return nil
 }
 
-// leaves turns the innermost causes into problems.
-func leaves(e *jsonschema.ValidationError) (ps []valid.Problem) {
+// leafProblems converts the innermost causes of a validation error to problems.
+func leafProblems(e *jsonschema.ValidationError) (ps []valid.Problem) {
 	if len(e.Causes) > 0 {
 		for _, c := range e.Causes {
-			ps = append(ps, leaves(c)...)
+			ps = append(ps, leafProblems(c)...)
 		}
 		return ps
 	}
-	at := strings.Join(e.InstanceLocation, ".")
-	whole := at
-	if whole == "" {
-		whole = "document"
+	path := strings.Join(e.InstanceLocation, ".")
+	field := path
+	if field == "" {
+		field = "document"
 	}
 	switch k := e.ErrorKind.(type) {
 	case *kind.AdditionalProperties:
 		for _, name := range k.Properties {
-			ps = append(ps, valid.Bad(join(at, name), "is not a known field", "remove it, or mend its spelling"))
+			ps = append(ps, valid.Bad(joinPath(path, name), "is not a known field", "remove it, or mend its spelling"))
 		}
 		return ps
 	case *kind.Required:
 		for _, name := range k.Missing {
-			ps = append(ps, valid.Bad(join(at, name), "is missing", "add it"))
+			ps = append(ps, valid.Bad(joinPath(path, name), "is missing", "add it"))
 		}
 		return ps
 	case *kind.Type:
-		return []valid.Problem{valid.Bad(whole, "is of type "+k.Got, "write a value of type "+strings.Join(k.Want, " or "))}
+		return []valid.Problem{valid.Bad(field, "is of type "+k.Got, "write a value of type "+strings.Join(k.Want, " or "))}
 	case *kind.Enum:
-		return []valid.Problem{valid.Bad(whole, fmt.Sprintf("is %q", k.Got), fmt.Sprintf("use one of %v", k.Want))}
+		return []valid.Problem{valid.Bad(field, fmt.Sprintf("is %q", k.Got), fmt.Sprintf("use one of %v", k.Want))}
 	case *kind.Pattern:
-		mend := "write a duration like 750ms or 2s"
+		fix := "write a duration like 750ms or 2s"
 		if strings.Contains(k.Want, "{1,5}") {
-			mend = "write an IP number and a port, such as 10.1.2.3:8080"
+			fix = "write an IP number and a port, such as 10.1.2.3:8080"
 		}
-		return []valid.Problem{valid.Bad(whole, fmt.Sprintf("is %q", k.Got), mend)}
+		return []valid.Problem{valid.Bad(field, fmt.Sprintf("is %q", k.Got), fix)}
 	default:
-		return []valid.Problem{valid.Bad(whole, "does not fit the schema", "compare it with docs/DOCUMENT.md")}
+		return []valid.Problem{valid.Bad(field, "does not fit the schema", "compare it with docs/DOCUMENT.md")}
 	}
 }
 
-func join(at, name string) string {
-	if at == "" {
+func joinPath(path, name string) string {
+	if path == "" {
 		return name
 	}
-	return at + "." + name
+	return path + "." + name
 }
--- a/internal/conf/fold/fold.go
+++ b/internal/conf/fold/fold.go
@@ -5,197 +5,196 @@
 	"time"
 )
 
-// Revision is one accepted document, certain as of an offset of the log.
+// Revision is an accepted document, known to be in force as of an offset of the log.
 type Revision struct {
 	Rev    uint64          `msgpack:"r"`
-	Asof   int64           `msgpack:"a"` // every offset up to here is folded in
+	Asof   int64           `msgpack:"a"` // every offset up to here is applied
 	Token  string          `msgpack:"t"`
 	Author string          `msgpack:"u"`
 	Note   string          `msgpack:"n"`
 	Doc    json.RawMessage `msgpack:"d"`
 }
 
-// Verdict on one declaration.
+// Verdict is the outcome of a declaration.
 type Verdict struct {
 	Won    bool
-	Rev    uint64 // the revision it became, or lost to
+	Rev    uint64 // the revision that it became, or that it lost to
 	Author string // of the winner
 	Token  string // of the winner
-	Why    string // of a declaration that is invalid
+	Why    string // why the document is invalid; empty if it lost to another
 }
 
-// Fold reads records in the order of their offsets.
+// Fold applies records in the order of their offsets.
 //
 // The rules: the first declaration on a base wins; a refresh is trusted only by
-// a reader that has read everything after the refresh's Asof; no revision ever
-// follows a higher one. What would go wrong without the second: a refresh is
-// written by a VM whose reading lagged, the newer declaration expires, and a VM
-// that starts then takes the old revision for the one in force.
+// a reader that has read everything after the refresh's Asof; revisions never
+// decrease. Without the second rule a VM that lags behind the log writes a refresh,
+// the newer declaration expires, and a VM that starts then adopts the old revision.
 type Fold struct {
-	valid  func(json.RawMessage) error
-	cur    Revision
-	known  bool    // cur is what the log says up to next-1
-	next   int64   // the first offset not read yet
-	since  int64   // everything from here to next-1 was read
-	early  []entry // declarations read while not known
-	ended  map[string]Verdict
-	recent []string
-	past   []Revision // the latest that were in force, oldest first
+	valid        func(json.RawMessage) error
+	cur          Revision
+	known        bool    // cur is certainly in force as of next-1
+	next         int64   // the first unread offset
+	readFrom     int64   // all offsets from here to next-1 were read
+	pending      []entry // declarations read while known is false
+	verdicts     map[string]Verdict
+	verdictOrder []string
+	history      []Revision // the latest revisions in force, oldest first
 
-	naive bool // tests only: trust any refresh, to show that they catch it
+	trustAny bool // tests only: trust any refresh, to show that the tests catch it
 }
 
 type entry struct {
-	at  int64
-	rec Record
+	offset int64
+	rec    Record
 }
 
 const (
-	// mostEarly bounds what is kept while no revision is known.
-	mostEarly = 4096
-	// mostEnded bounds how many declarations' verdicts are remembered.
-	mostEnded = 1024
-	// mostPast bounds the revisions kept to go back to.
-	mostPast = 20
+	// maxPending bounds the declarations kept while the revision in force is not known.
+	maxPending = 4096
+	// maxVerdicts bounds the verdicts that are remembered.
+	maxVerdicts = 1024
+	// maxHistory bounds the revisions kept for operators to return to.
+	maxHistory = 20
 )
 
-// New returns a fold that knows nothing; valid judges documents and must give
-// the same verdict on every VM.
+// New returns an empty fold; valid checks documents and must give the same result
+// on every VM.
 func New(valid func(json.RawMessage) error) *Fold {
-	return &Fold{valid: valid, ended: map[string]Verdict{}, cur: Revision{Asof: -1}}
+	return &Fold{valid: valid, verdicts: map[string]Verdict{}, cur: Revision{Asof: -1}}
 }
 
 // Current returns the revision in force; ok is false before the first.
 func (f *Fold) Current() (Revision, bool) { return f.cur, f.cur.Rev > 0 }
 
-// Known reports whether the fold is sure of everything the log holds so far.
-// Without it the current revision is served, but nothing may be built on it.
+// Known reports whether the current revision is certainly in force as of the last
+// offset read. Otherwise it is used, but nothing may be declared on it.
 func (f *Fold) Known() bool { return f.known }
 
-// Next is the offset to read from.
+// Next returns the offset to read from.
 func (f *Fold) Next() int64 { return f.next }
 
-// Verdict returns what became of a declaration that was folded here.
+// Verdict returns the outcome of a declaration that was applied here.
 func (f *Fold) Verdict(token string) (Verdict, bool) {
-	v, ok := f.ended[token]
+	v, ok := f.verdicts[token]
 	return v, ok
 }
 
-// Open says where the readable log begins; called before each batch of records.
+// Open sets the first readable offset of the log; it is called before each batch of records.
 func (f *Fold) Open(first int64) {
 	if first == 0 && f.next == 0 {
-		f.known = true // the log from its very start: nothing was declared before
+		f.known = true // read from the log's start: nothing was declared before
 	}
 	if first > f.next {
 		f.restart(first) // records expired unread
 	}
 }
 
-// restart begins a run of reading without a gap at an offset.
-func (f *Fold) restart(at int64) {
-	f.next, f.since = at, at
+// restart begins a run of reading without gaps at an offset and drops pending declarations.
+func (f *Fold) restart(offset int64) {
+	f.next, f.readFrom = offset, offset
 	f.known = false
-	f.early = nil
+	f.pending = nil
 }
 
-// Apply folds the record at an offset; records already folded are ignored.
-func (f *Fold) Apply(at int64, data []byte) {
-	if at < f.next {
+// Apply applies the record at an offset; records already applied are ignored.
+func (f *Fold) Apply(offset int64, data []byte) {
+	if offset < f.next {
 		return
 	}
-	f.Open(at)
-	f.next = at + 1
+	f.Open(offset)
+	f.next = offset + 1
 	rec, err := Decode(data)
 	switch {
-	case err != nil: // written by something else; no declaration of ours
-		f.pass(at)
+	case err != nil: // written by another program; not a declaration
+		f.skip(offset)
 	case rec.Found && rec.Kind == Declare:
-		f.found(at, rec)
+		f.applyFound(offset, rec)
 	case rec.Kind == Refresh && !f.known:
-		f.refresh(at, rec)
+		f.applyRefresh(offset, rec)
 	case rec.Kind == Refresh:
-		f.pass(at)
+		f.skip(offset)
 	case f.known:
-		f.declare(at, rec)
-	case len(f.early) == mostEarly:
-		f.restart(at + 1)
+		f.applyDeclare(offset, rec)
+	case len(f.pending) == maxPending:
+		f.restart(offset + 1)
 	default:
-		f.early = append(f.early, entry{at, rec})
+		f.pending = append(f.pending, entry{offset, rec})
 	}
 }
 
-// pass notes that an offset holds no declaration.
-func (f *Fold) pass(at int64) {
+// skip records that an offset holds no declaration.
+func (f *Fold) skip(offset int64) {
 	if f.known {
-		f.cur.Asof = at
+		f.cur.Asof = offset
 	}
 }
 
-func (f *Fold) declare(at int64, rec Record) {
-	f.cur.Asof = at
+func (f *Fold) applyDeclare(offset int64, rec Record) {
+	f.cur.Asof = offset
 	if rec.Token == f.cur.Token {
-		return // the same append, sent twice because its answer was lost
+		return // a second copy, appended because the first answer was lost
 	}
 	if rec.Base != f.cur.Rev {
-		f.end(rec.Token, Verdict{Rev: f.cur.Rev, Author: f.cur.Author, Token: f.cur.Token})
+		f.recordVerdict(rec.Token, Verdict{Rev: f.cur.Rev, Author: f.cur.Author, Token: f.cur.Token})
 		return
 	}
 	if err := f.valid(rec.Doc); err != nil {
-		f.end(rec.Token, Verdict{Rev: f.cur.Rev, Author: f.cur.Author, Token: f.cur.Token, Why: err.Error()})
+		f.recordVerdict(rec.Token, Verdict{Rev: f.cur.Rev, Author: f.cur.Author, Token: f.cur.Token, Why: err.Error()})
 		return
 	}
-	f.cur = Revision{Rev: rec.Base + 1, Asof: at, Token: rec.Token, Author: rec.Author, Note: rec.Note, Doc: rec.Doc}
-	f.enter()
-	f.end(rec.Token, Verdict{Won: true, Rev: f.cur.Rev, Author: rec.Author, Token: rec.Token})
+	f.cur = Revision{Rev: rec.Base + 1, Asof: offset, Token: rec.Token, Author: rec.Author, Note: rec.Note, Doc: rec.Doc}
+	f.addHistory()
+	f.recordVerdict(rec.Token, Verdict{Won: true, Rev: f.cur.Rev, Author: rec.Author, Token: rec.Token})
 }
 
-// found makes a declaration the start of everything after it. Each revision took
-// at least one offset, so no revision before is as high as at+1.
-func (f *Fold) found(at int64, rec Record) {
+// applyFound makes a declaration the start of a new history. Each revision took
+// at least one offset, so every earlier revision is lower than offset+1.
+func (f *Fold) applyFound(offset int64, rec Record) {
 	if f.known && rec.Token == f.cur.Token {
-		f.cur.Asof = at
+		f.cur.Asof = offset
 		return
 	}
 	if err := f.valid(rec.Doc); err != nil {
-		f.pass(at)
-		f.end(rec.Token, Verdict{Rev: f.cur.Rev, Author: f.cur.Author, Token: f.cur.Token, Why: err.Error()})
+		f.skip(offset)
+		f.recordVerdict(rec.Token, Verdict{Rev: f.cur.Rev, Author: f.cur.Author, Token: f.cur.Token, Why: err.Error()})
 		return
 	}
-	f.cur = Revision{Rev: uint64(at) + 1, Asof: at, Token: rec.Token, Author: rec.Author, Note: rec.Note, Doc: rec.Doc}
-	f.known, f.early = true, nil
-	f.enter()
-	f.end(rec.Token, Verdict{Won: true, Rev: f.cur.Rev, Author: rec.Author, Token: rec.Token})
+	f.cur = Revision{Rev: uint64(offset) + 1, Asof: offset, Token: rec.Token, Author: rec.Author, Note: rec.Note, Doc: rec.Doc}
+	f.known, f.pending = true, nil
+	f.addHistory()
+	f.recordVerdict(rec.Token, Verdict{Won: true, Rev: f.cur.Rev, Author: rec.Author, Token: rec.Token})
 }
 
-// refresh gives a reader that began late its starting point.
-func (f *Fold) refresh(at int64, rec Record) {
-	if rec.Asof < f.since-1 && !f.naive {
-		return // a record after Asof that expired unread may have changed it
+// applyRefresh gives a reader that started in the middle of the log its first revision.
+func (f *Fold) applyRefresh(offset int64, rec Record) {
+	if rec.Asof < f.readFrom-1 && !f.trustAny {
+		return // a record after Asof that expired unread may have replaced it
 	}
-	f.trust(Revision{Rev: rec.Rev, Asof: rec.Asof, Token: rec.Token, Author: rec.Author, Note: rec.Note, Doc: rec.Doc}, at)
+	f.startFrom(Revision{Rev: rec.Rev, Asof: rec.Asof, Token: rec.Token, Author: rec.Author, Note: rec.Note, Doc: rec.Doc}, offset)
 }
 
-// trust takes r as certain as of r.Asof and folds what was read after it, unless
-// that would lead below the current revision.
-func (f *Fold) trust(r Revision, upto int64) {
-	was, early := f.cur, f.early
-	f.cur, f.known, f.early = r, true, nil
-	for _, e := range early {
-		if e.at > r.Asof {
-			f.declare(e.at, e.rec)
+// startFrom makes r the revision in force as of r.Asof and applies the declarations read
+// after it, unless that would end below the current revision.
+func (f *Fold) startFrom(r Revision, end int64) {
+	prev, pending := f.cur, f.pending
+	f.cur, f.known, f.pending = r, true, nil
+	for _, e := range pending {
+		if e.offset > r.Asof {
+			f.applyDeclare(e.offset, e.rec)
 		}
 	}
-	f.cur.Asof = max(f.cur.Asof, upto)
-	if f.cur.Rev < was.Rev && !f.naive {
-		f.cur, f.known, f.early = was, false, early
+	f.cur.Asof = max(f.cur.Asof, end)
+	if f.cur.Rev < prev.Rev && !f.trustAny {
+		f.cur, f.known, f.pending = prev, false, pending
 	}
-	f.enter()
+	f.addHistory()
 }
 
-// Adopt takes a revision from a peer and reports whether a newer one is in force.
+// Adopt accepts a revision from a peer and reports whether a newer one is in force now.
 func (f *Fold) Adopt(r Revision) bool {
-	was := f.cur.Rev
-	if r.Rev < was || (r.Rev == was && (f.known || r.Asof <= f.cur.Asof)) {
+	prev := f.cur.Rev
+	if r.Rev < prev || (r.Rev == prev && (f.known || r.Asof <= f.cur.Asof)) {
 		return false
 	}
 	switch {
@@ -203,43 +202,43 @@
 		f.restart(r.Asof + 1)
 		f.cur, f.known = r, true
 	case f.known:
-		return false // it would contradict what was read; the log decides
-	case r.Asof >= f.since-1:
-		f.trust(r, f.next-1)
+		return false // it contradicts what was read; the log decides
+	case r.Asof >= f.readFrom-1:
+		f.startFrom(r, f.next-1)
 	default:
-		f.cur = r // served, though records after its Asof were missed
+		f.cur = r // used, though records after its Asof were missed
 	}
-	f.enter()
-	return f.cur.Rev > was
+	f.addHistory()
+	return f.cur.Rev > prev
 }
 
-func (f *Fold) end(token string, v Verdict) {
-	if _, ok := f.ended[token]; ok {
+func (f *Fold) recordVerdict(token string, v Verdict) {
+	if _, ok := f.verdicts[token]; ok {
 		return // the first copy of a declaration decides
 	}
-	f.ended[token] = v
-	f.recent = append(f.recent, token)
-	if len(f.recent) > mostEnded {
-		delete(f.ended, f.recent[0])
-		f.recent = f.recent[1:]
+	f.verdicts[token] = v
+	f.verdictOrder = append(f.verdictOrder, token)
+	if len(f.verdictOrder) > maxVerdicts {
+		delete(f.verdicts, f.verdictOrder[0])
+		f.verdictOrder = f.verdictOrder[1:]
 	}
 }
 
 // History returns the latest revisions that were in force, oldest first.
-func (f *Fold) History() []Revision { return append([]Revision{}, f.past...) }
+func (f *Fold) History() []Revision { return append([]Revision{}, f.history...) }
 
-// enter remembers a revision that came into force.
-func (f *Fold) enter() {
-	if n := len(f.past); n > 0 && f.past[n-1].Rev >= f.cur.Rev {
+// addHistory records that the current revision came into force.
+func (f *Fold) addHistory() {
+	if n := len(f.history); n > 0 && f.history[n-1].Rev >= f.cur.Rev {
 		return
 	}
-	f.past = append(f.past, f.cur)
-	if len(f.past) > mostPast {
-		f.past = f.past[1:]
+	f.history = append(f.history, f.cur)
+	if len(f.history) > maxHistory {
+		f.history = f.history[1:]
 	}
 }
 
-// Renewal returns a refresh of the current revision, if it is certain.
+// Renewal returns a refresh of the current revision, if it is known to be in force.
 func (f *Fold) Renewal() (Record, bool) {
 	if !f.known || f.cur.Rev == 0 {
 		return Record{}, false
@@ -248,5 +247,5 @@
 	return Record{Kind: Refresh, Rev: c.Rev, Asof: c.Asof, Token: c.Token, Author: c.Author, Note: c.Note, Doc: c.Doc}, true
 }
 
-// RenewEvery is how often a revision is written again for a retention.
-func RenewEvery(retention time.Duration) time.Duration { return retention / 3 }
+// RefreshInterval returns how often to write a refresh for a retention of the log.
+func RefreshInterval(retention time.Duration) time.Duration { return retention / 3 }
--- a/internal/conf/fold/fold_test.go
+++ b/internal/conf/fold/fold_test.go
@@ -12,20 +12,20 @@
 
 func anyDoc(json.RawMessage) error { return nil }
 
-// model is a log with retention and the VMs that read it; truth folds every
-// record at once and is what the VMs are judged by.
+// model is a log with retention and the VMs that read it; truth applies every
+// record at once, and the VMs are checked against it.
 type model struct {
-	records [][]byte
-	first   int64
-	vms     []*Fold
-	truth   *Fold
-	won     map[uint64]string // revision to token
-	serial  int
-	naive   bool
+	records  [][]byte
+	first    int64
+	vms      []*Fold
+	truth    *Fold
+	won      map[uint64]string // revision to token
+	serial   int
+	trustAny bool
 }
 
-func newModel(n int, naive bool) *model {
-	m := &model{truth: New(anyDoc), won: map[uint64]string{}, naive: naive}
+func newModel(n int, trustAny bool) *model {
+	m := &model{truth: New(anyDoc), won: map[uint64]string{}, trustAny: trustAny}
 	m.truth.Open(0)
 	for range n {
 		m.vms = append(m.vms, m.boot())
@@ -35,7 +35,7 @@
 
 func (m *model) boot() *Fold {
 	f := New(anyDoc)
-	f.naive = m.naive
+	f.trustAny = m.trustAny
 	return f
 }
 
@@ -69,14 +69,14 @@
 
 // step does one random thing and checks every VM against the truth.
 func (m *model) step(t *rapid.T) error {
-	was := make([]uint64, len(m.vms))
+	before := make([]uint64, len(m.vms))
 	for i, f := range m.vms {
-		was[i] = f.cur.Rev
+		before[i] = f.cur.Rev
 	}
 	i := rapid.IntRange(0, len(m.vms)-1).Draw(t, "vm")
 	f := m.vms[i]
 	switch rapid.IntRange(0, 7).Draw(t, "what") {
-	case 0, 1: // declare on the base that this VM knows; the append may be doubled
+	case 0, 1: // declare on the base that this VM knows; the append may be duplicated
 		if !f.Known() {
 			break
 		}
@@ -109,32 +109,31 @@
 		if r, ok := m.vms[rapid.IntRange(0, len(m.vms)-1).Draw(t, "peer")].Current(); ok {
 			f.Adopt(r)
 		}
-	default: // replaced; it is new, so it has nothing to revert from
-		m.vms[i], was[i] = m.boot(), 0
+	default: // the VM is replaced; a new one has no revision to revert from
+		m.vms[i], before[i] = m.boot(), 0
 	}
-	return m.check(was)
+	return m.check(before)
 }
 
-// check judges every VM by the truth; was has their revisions before.
-func (m *model) check(was []uint64) error {
+// check compares every VM with the truth; before holds their previous revisions.
+func (m *model) check(before []uint64) error {
 	for i, f := range m.vms {
-		if f.cur.Rev < was[i] {
-			return fmt.Errorf("vm %d from %d to %d: %w", i, was[i], f.cur.Rev, errReverted)
+		if f.cur.Rev < before[i] {
+			return fmt.Errorf("vm %d from %d to %d: %w", i, before[i], f.cur.Rev, errReverted)
 		}
 		if c, ok := f.Current(); ok && m.won[c.Rev] != c.Token {
 			return fmt.Errorf("vm %d has %s as revision %d, the log %s", i, c.Token, c.Rev, m.won[c.Rev])
 		}
 		if f.Known() && f.Next() == int64(len(m.records)) && f.cur.Rev != m.truth.cur.Rev {
-			return fmt.Errorf("vm %d read all and is sure of %d, the log says %d", i, f.cur.Rev, m.truth.cur.Rev)
+			return fmt.Errorf("vm %d read the whole log and knows revision %d, the log has %d", i, f.cur.Rev, m.truth.cur.Rev)
 		}
 	}
 	return nil
 }
 
-// Symptom: an accepted configuration reverts, or two operators are both told
-// that they won. Sequence: any order of races, doubled appends, refreshes by
-// lagging VMs, expiry, gossip and replaced VMs. Cause: a record is trusted
-// without what came before it.
+// Guards against an accepted configuration that reverts, and against two winners on one
+// base, under any order of races, duplicate appends, refreshes by lagging VMs, expiry,
+// gossip and replaced VMs: a record is trusted without those before it.
 func TestNeverRevertsNeverTwoWinners(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(4, false)
@@ -143,7 +142,7 @@
 				t.Fatal(err)
 			}
 		}
-		// Every VM that can know converges: one that is sure writes a refresh, all read.
+		// The VMs converge: one that knows the revision in force writes a refresh, and all read it.
 		for _, f := range m.vms {
 			m.read(f, 1<<30)
 		}
@@ -164,14 +163,13 @@
 	})
 }
 
-// Symptom: after a quiet month a new VM starts with last month's document.
-// Sequence: VM A lags at revision 1, revision 2 is accepted, A refreshes 1,
-// everything before the refresh expires, VM B starts. Cause: B trusts a refresh
-// without having read everything since the offset it is true as of.
+// Guards against a new VM that starts with an old document: VM A lags at revision 1,
+// revision 2 is accepted, A refreshes 1, everything before the refresh expires, and VM B
+// starts and trusts the refresh without having read everything since its Asof.
 func TestRefreshOfALaggingVMIsNotTrusted(t *testing.T) {
-	for _, naive := range []bool{false, true} {
+	for _, trustAny := range []bool{false, true} {
 		is := is.New(t)
-		m := newModel(2, naive)
+		m := newModel(2, trustAny)
 		a, b := m.vms[0], m.vms[1]
 		m.read(a, 1)
 		is.NoErr(m.append(Record{Kind: Declare, Base: 0, Token: "one", Doc: json.RawMessage(`{}`)}))
@@ -183,37 +181,36 @@
 		m.first = 2
 		m.read(b, 10)
 		reverted := b.Known() && b.cur.Rev == 1
-		is.Equal(reverted, naive) // the broken variant shows that this test would notice
+		is.Equal(reverted, trustAny) // trusting any refresh shows that this test detects the failure
 	}
 }
 
-// Symptom: two operators are both told that their document is revision 1. Sequence: two
-// VMs declare on the same base at the same moment. Cause: a VM takes its own append for
-// accepted when it returns, without reading what came before it. The variant is broken on
-// purpose: the model's check has to notice.
-func TestRaceSettledByArrivalIsCaught(t *testing.T) {
-	for _, arrival := range []bool{false, true} {
+// Checks that the model detects two winners of revision 1: two VMs declare on the same base
+// at the same time, and in the variant that is broken on purpose each treats its append as
+// accepted when it returns, without reading the records before it.
+func TestModelDetectsTwoWinners(t *testing.T) {
+	for _, onAppend := range []bool{false, true} {
 		is := is.New(t)
 		m := newModel(2, false)
 		for i, f := range m.vms {
 			f.Open(0)
 			rec := Record{Kind: Declare, Token: fmt.Sprint("of-", i), Doc: json.RawMessage(`{}`)}
 			is.NoErr(m.append(rec))
-			if arrival {
-				f.declare(int64(len(m.records)-1), rec)
+			if onAppend {
+				f.applyDeclare(int64(len(m.records)-1), rec)
 			} else {
 				m.read(f, 1<<30)
 			}
 		}
-		is.Equal(m.check([]uint64{0, 0}) != nil, arrival)
+		is.Equal(m.check([]uint64{0, 0}) != nil, onAppend)
 	}
 }
 
-func TestLoserIsToldByWhom(t *testing.T) {
+func TestLoserGetsWinner(t *testing.T) {
 	is := is.New(t)
 	m := newModel(1, false)
-	for _, who := range []string{"ana", "bo"} {
-		is.NoErr(m.append(Record{Kind: Declare, Token: "of-" + who, Author: who, Doc: json.RawMessage(`{}`)}))
+	for _, author := range []string{"ana", "bo"} {
+		is.NoErr(m.append(Record{Kind: Declare, Token: "of-" + author, Author: author, Doc: json.RawMessage(`{}`)}))
 	}
 	m.read(m.vms[0], 10)
 	v, ok := m.vms[0].Verdict("of-bo")
@@ -223,10 +220,10 @@
 	is.True(ok && v.Won)
 }
 
-// Symptom: a service can't be configured any more. Sequence: every VM was replaced
-// and every record expired, so no reader can know the base. Cause: no way to begin
-// again that all readers agree on.
-func TestFoundBeginsAgainAboveEverythingBefore(t *testing.T) {
+// Guards against a service that can't be configured any more: every VM was replaced and
+// every record expired, so no reader knows the base, and a new history needs a start that
+// all readers agree on.
+func TestFoundRestartsAboveEveryRevision(t *testing.T) {
 	is := is.New(t)
 	m := newModel(2, false)
 	m.read(m.vms[0], 1)
--- a/internal/conf/fold/record.go
+++ b/internal/conf/fold/record.go
@@ -1,4 +1,4 @@
-// Package fold turns the log's records into the revision that is in force.
+// Package fold replays the records of the log to find the revision in force.
 package fold
 
 import (
@@ -7,34 +7,34 @@
 	"fmt"
 )
 
-// Kind of a record.
+// Kind is the kind of a record.
 type Kind string
 
-// The kinds.
+// Kinds of records.
 const (
-	Declare Kind = "declare" // an operator's revision
-	Refresh Kind = "refresh" // a copy of what is in force, against the log's retention
+	Declare Kind = "declare" // a new revision by an operator
+	Refresh Kind = "refresh" // a copy of the revision in force, written before the log's retention drops it
 )
 
 // Record is one entry of a service's stream.
 type Record struct {
 	Kind Kind   `json:"kind"`
-	Base uint64 `json:"base"` // declare: the revision that it changes
-	// Found starts afresh where nobody knows a revision any more: it wins whatever
-	// its base, with the offset as its revision, which is above every earlier one.
+	Base uint64 `json:"base"` // declare: the revision that it is based on
+	// Found founds a new history where no VM knows a revision any more: it wins whatever its
+	// base, with its offset plus one as its revision, which is above every earlier one.
 	Found  bool            `json:"found,omitempty"`
 	Rev    uint64          `json:"rev,omitempty"`  // refresh: the revision in force
-	Asof   int64           `json:"asof,omitempty"` // refresh: every offset up to here was folded
-	Token  string          `json:"token"`          // random, names the declaration
-	Author string          `json:"author"`         // who declared it
+	Asof   int64           `json:"asof,omitempty"` // refresh: the last offset that its writer had applied
+	Token  string          `json:"token"`          // random id of the declaration
+	Author string          `json:"author"`         // the operator who declared it
 	Note   string          `json:"note,omitempty"` // why
 	Doc    json.RawMessage `json:"doc"`            // the whole document
 }
 
-// ErrRecord is returned for a record that can't be read.
+// ErrRecord is returned for a record that can't be decoded.
 var ErrRecord = errors.New("unreadable record")
 
-// Decode reads a record.
+// Decode decodes a record and checks its required fields.
 func Decode(data []byte) (Record, error) {
 	var r Record
 	if err := json.Unmarshal(data, &r); err != nil {
@@ -49,7 +49,7 @@
 	return r, nil
 }
 
-// Encode writes a record.
+// Encode encodes the record as JSON.
 func (r Record) Encode() ([]byte, error) {
 	data, err := json.Marshal(r)
 	if err != nil {
--- a/internal/conf/forms/diff.go
+++ b/internal/conf/forms/diff.go
@@ -8,11 +8,11 @@
 	"strconv"
 )
 
-// Change is one field that differs between two documents.
+// Change is a field that differs between two documents.
 type Change struct {
 	Field string `json:"field"`
-	Was   string `json:"was"` // empty if it was not there
-	Now   string `json:"now"` // empty if it is not there any more
+	Was   string `json:"was"` // empty if the field was added
+	Now   string `json:"now"` // empty if the field was removed
 }
 
 func (c Change) String() string {
@@ -26,7 +26,7 @@
 	}
 }
 
-// Diff lists what differs between two documents, by field.
+// Diff returns the fields that differ between two documents, sorted.
 func Diff(was, now json.RawMessage) ([]Change, error) {
 	a, b := map[string]string{}, map[string]string{}
 	for _, side := range []struct {
@@ -53,24 +53,24 @@
 	return changes, nil
 }
 
-func flatten(at string, v any, into map[string]string) {
+func flatten(path string, v any, into map[string]string) {
 	switch v := v.(type) {
 	case map[string]any:
 		for k, x := range v {
-			flatten(dot(at, k), x, into)
+			flatten(joinPath(path, k), x, into)
 		}
 	case []any:
 		for i, x := range v {
-			flatten(at+"["+strconv.Itoa(i)+"]", x, into)
+			flatten(path+"["+strconv.Itoa(i)+"]", x, into)
 		}
 	default:
-		into[at] = fmt.Sprint(v)
+		into[path] = fmt.Sprint(v)
 	}
 }
 
-func dot(at, k string) string {
-	if at == "" {
-		return k
+func joinPath(path, name string) string {
+	if path == "" {
+		return name
 	}
-	return at + "." + k
+	return path + "." + name
 }
--- a/internal/conf/forms/form.go
+++ b/internal/conf/forms/form.go
@@ -1,5 +1,5 @@
-// Package forms has the short forms by which operators change a document: each
-// sets one thing. The console and the command line share them.
+// Package forms holds the short forms with which operators change a document; each
+// changes one thing. The console and the command line share them.
 package forms
 
 import (
@@ -20,13 +20,13 @@
 type Field struct {
 	Name string
 	Help string
-	// Choices lists what may be put in, if that is a short list.
+	// Choices returns the allowed values; nil for free input.
 	Choices func(*doc.Document) []string
-	// Optional fields may stay empty.
+	// Optional reports whether the field may be empty.
 	Optional bool
 }
 
-// Form sets one thing.
+// Form changes one thing in a document.
 type Form struct {
 	Name   string
 	Title  string
@@ -34,17 +34,17 @@
 	apply  func(d *doc.Document, v Values) error
 }
 
-// Values are a form's inputs by field name.
+// Values holds a form's inputs by field name.
 type Values map[string]string
 
-// The errors of a form.
+// Errors of forms.
 var (
 	ErrForm  = errors.New("no such form")
 	ErrField = errors.New("field")
 )
 
-// All lists the forms in the order of the console.
-var All = []Form{pause, resume, share, rate, class, drain, undrain, reserve}
+// All holds the forms in the order of the console.
+var All = []Form{pause, resume, share, quota, class, drain, undrain, reserve}
 
 // Find returns a form by name.
 func Find(name string) (Form, error) {
@@ -56,7 +56,7 @@
 	return Form{}, fmt.Errorf("%w: %q; there are %s", ErrForm, name, strings.Join(Names(), ", "))
 }
 
-// Names lists the forms' names.
+// Names returns the forms' names.
 func Names() []string {
 	names := make([]string, len(All))
 	for i, f := range All {
@@ -65,8 +65,8 @@
 	return names
 }
 
-// Apply returns a changed copy of the document. It is not validated yet: the
-// validator of documents judges it as it judges any other.
+// Apply returns a changed copy of the document. The copy is not validated here, but
+// like any other document when it is declared.
 func (f Form) Apply(d *doc.Document, v Values) (*doc.Document, error) {
 	for _, in := range f.Fields {
 		if strings.TrimSpace(v[in.Name]) == "" && !in.Optional {
@@ -118,7 +118,7 @@
 	return nil
 }
 
-func number(v Values, name string) (float64, error) {
+func parseNumber(v Values, name string) (float64, error) {
 	x, err := strconv.ParseFloat(strings.TrimSpace(v[name]), 64)
 	if err != nil {
 		return 0, fmt.Errorf("%w %s: %q is no number", ErrField, name, v[name])
@@ -145,13 +145,13 @@
 	Fields: []Field{tenantField, {Name: "weight", Help: "more than 0; twice the weight is twice the share"}},
 	apply: func(d *doc.Document, v Values) error {
 		return withTenant(d, v, func(t *doc.Tenant) (err error) {
-			t.Weight, err = number(v, "weight")
+			t.Weight, err = parseNumber(v, "weight")
 			return err
 		})
 	},
 }
 
-var rate = Form{
+var quota = Form{
 	Name: "quota", Title: "Change a tenant's quota",
 	Fields: []Field{
 		tenantField,
@@ -161,14 +161,14 @@
 	apply: func(d *doc.Document, v Values) error {
 		return withTenant(d, v, func(t *doc.Tenant) error {
 			if v["rate"] != "" {
-				x, err := number(v, "rate")
+				x, err := parseNumber(v, "rate")
 				if err != nil {
 					return err
 				}
 				t.Rate = x
 			}
 			if v["slots"] != "" {
-				x, err := number(v, "slots")
+				x, err := parseNumber(v, "slots")
 				if err != nil {
 					return err
 				}
@@ -212,7 +212,7 @@
 	Name: "drain", Title: "Drain endpoints",
 	Fields: []Field{{Name: "endpoints", Help: "addresses with commas; they get no new work"}},
 	apply: func(d *doc.Document, v Values) error {
-		list, err := addresses(v["endpoints"])
+		list, err := parseAddresses(v["endpoints"])
 		if err != nil {
 			return err
 		}
@@ -229,7 +229,7 @@
 	Name: "undrain", Title: "Let drained endpoints work again",
 	Fields: []Field{{Name: "endpoints", Help: "addresses with commas"}},
 	apply: func(d *doc.Document, v Values) error {
-		list, err := addresses(v["endpoints"])
+		list, err := parseAddresses(v["endpoints"])
 		if err != nil {
 			return err
 		}
@@ -238,7 +238,7 @@
 	},
 }
 
-func addresses(text string) (list []netip.AddrPort, err error) {
+func parseAddresses(text string) (list []netip.AddrPort, err error) {
 	for _, part := range strings.FieldsFunc(text, func(r rune) bool { return r == ',' || r == ' ' || r == '\n' || r == '\r' }) {
 		a, err := netip.ParseAddrPort(part)
 		if err != nil {
@@ -253,7 +253,7 @@
 	Name: "reserve", Title: "Change the urgent reserve",
 	Fields: []Field{{Name: "part", Help: "part of the slots kept for urgent work, such as 0.08"}},
 	apply: func(d *doc.Document, v Values) (err error) {
-		d.Reserve, err = number(v, "part")
+		d.Reserve, err = parseNumber(v, "part")
 		return err
 	},
 }
--- a/internal/conf/forms/forms_test.go
+++ b/internal/conf/forms/forms_test.go
@@ -68,7 +68,7 @@
 	for _, c := range []struct {
 		form string
 		in   Values
-		says string
+		want string
 	}{
 		{"pause", Values{}, "field tenant: is empty; a declared tenant"},
 		{"pause", Values{"tenant": "nobody"}, `field tenant: "nobody" is not declared; use one of crew, relief`},
@@ -80,6 +80,6 @@
 		is.NoErr(err)
 		_, err = f.Apply(example(t), c.in)
 		is.True(errors.Is(err, ErrField))
-		is.Equal(err.Error(), c.says)
+		is.Equal(err.Error(), c.want)
 	}
 }
--- a/internal/conf/keeper/keeper.go
+++ b/internal/conf/keeper/keeper.go
@@ -1,6 +1,6 @@
-// Package keeper keeps one VM's copy of the declared document: it reads the log,
-// takes newer revisions from peers, declares for operators and renews what is in
-// force before the log forgets it.
+// Package keeper maintains one VM's copy of the declared document: it reads the log,
+// adopts newer revisions from peers, declares for operators and refreshes the revision
+// in force before the log's retention drops it.
 package keeper
 
 import (
@@ -21,57 +21,57 @@
 )
 
 const (
-	// readWait is how long one read of the log waits for news.
+	// readWait is how long one read of the log waits for new records.
 	readWait = 10 * time.Second
-	// backLeast and backMost bound the pause after a failed call to the log.
-	backLeast = 100 * time.Millisecond
-	backMost  = 2 * time.Second
+	// minBackoff and maxBackoff bound the delay after a failed call to the log.
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 2 * time.Second
 )
 
-// Keeper of the document.
+// Keeper maintains the document.
 type Keeper struct {
 	log       ledger.Log
 	timers    *timer.Service
-	out       *slog.Logger
+	logger    *slog.Logger
 	apply     func(fold.Revision) error
 	retention time.Duration
 
-	mu     sync.Mutex
-	fold   *fold.Fold
-	proven time.Time     // when the log last said what is in force
-	jitter time.Duration // added to the time of the next renewal
-	news   chan struct{} // closed when something was folded
+	mu        sync.Mutex
+	fold      *fold.Fold
+	confirmed time.Time     // when records were last read from the log
+	jitter    time.Duration // added to the time of the next refresh
+	changed   chan struct{} // closed at each change of fold
 }
 
-// New returns a keeper; apply puts a revision in force.
-func New(log ledger.Log, timers *timer.Service, retention time.Duration, apply func(fold.Revision) error, out *slog.Logger) *Keeper {
+// New returns a keeper; apply is called to put a revision in force.
+func New(log ledger.Log, timers *timer.Service, retention time.Duration, apply func(fold.Revision) error, logger *slog.Logger) *Keeper {
 	k := &Keeper{
-		log: log, timers: timers, retention: retention, apply: apply, out: out,
-		fold: fold.New(valid), news: make(chan struct{}), proven: timers.Now(),
+		log: log, timers: timers, retention: retention, apply: apply, logger: logger,
+		fold: fold.New(validate), changed: make(chan struct{}), confirmed: timers.Now(),
 	}
-	k.jitter = mrand.N(fold.RenewEvery(retention) + 1)
+	k.jitter = mrand.N(fold.RefreshInterval(retention) + 1)
 	return k
 }
 
-func valid(text json.RawMessage) error {
+func validate(text json.RawMessage) error {
 	_, err := doc.Parse(text)
 	return err
 }
 
 // Run reads the log until ctx ends.
 func (k *Keeper) Run(ctx context.Context) {
-	back := backLeast
+	backoff := minBackoff
 	for ctx.Err() == nil {
 		err := k.read(ctx)
 		if err == nil {
-			back = backLeast
+			backoff = minBackoff
 			continue
 		}
 		if ctx.Err() == nil {
-			k.out.Warn("log unreadable", "err", err, "retry", back)
+			k.logger.Warn("reading the log failed", "err", err, "retry", backoff)
 		}
-		rest(ctx, back/2+mrand.N(back))
-		back = min(2*back, backMost)
+		sleep(ctx, backoff/2+mrand.N(backoff))
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
@@ -90,22 +90,22 @@
 		k.fold.Apply(p.From+int64(i), data)
 	}
 	if len(p.Records) > 0 {
-		k.proven = k.timers.Now()
+		k.confirmed = k.timers.Now()
 	}
-	k.tell()
+	k.publish()
 	return nil
 }
 
-// tell puts the current revision in force and wakes who waits; the caller holds
-// the lock.
-func (k *Keeper) tell() {
+// publish puts the current revision in force and wakes waiting goroutines; the caller
+// holds the lock.
+func (k *Keeper) publish() {
 	if r, ok := k.fold.Current(); ok {
 		if err := k.apply(r); err != nil {
-			k.out.Error("apply document", "err", err)
+			k.logger.Error("applying the document failed", "err", err)
 		}
 	}
-	close(k.news)
-	k.news = make(chan struct{})
+	close(k.changed)
+	k.changed = make(chan struct{})
 }
 
 // Offer implements flow.Docs.
@@ -113,7 +113,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.fold.Adopt(r) {
-		k.tell()
+		k.publish()
 	}
 }
 
@@ -131,25 +131,25 @@
 	return k.fold.History()
 }
 
-// Sure reports whether the current revision is certain up to what was read.
+// Certain reports whether the current revision is certainly in force as of the last record read.
 func (k *Keeper) Sure() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.fold.Known()
 }
 
-// Renew appends a refresh when its time has come and no peer was faster.
+// Renew appends a refresh when one is due and no peer wrote one first.
 func (k *Keeper) Renew(ctx context.Context) {
 	k.mu.Lock()
-	due := k.proven.Add(fold.RenewEvery(k.retention) + k.jitter)
+	due := k.confirmed.Add(fold.RefreshInterval(k.retention) + k.jitter)
 	r, ok := k.fold.Renewal()
-	late := !k.timers.Now().Before(due)
-	if late {
-		k.jitter = mrand.N(fold.RenewEvery(k.retention) + 1)
-		k.proven = k.timers.Now() // also when the append fails: the next try is a term later
+	overdue := !k.timers.Now().Before(due)
+	if overdue {
+		k.jitter = mrand.N(fold.RefreshInterval(k.retention) + 1)
+		k.confirmed = k.timers.Now() // before the append, so that no other call appends meanwhile
 	}
 	k.mu.Unlock()
-	if !late || !ok {
+	if !overdue || !ok {
 		return
 	}
 	data, err := r.Encode()
@@ -157,47 +157,47 @@
 		_, err = k.log.Append(ctx, data)
 	}
 	if err != nil {
-		k.out.Warn("refresh failed", "err", err)
+		k.logger.Warn("appending a refresh to the log failed", "err", err)
 		k.mu.Lock()
-		k.proven = k.timers.Now().Add(k.retention/20 - fold.RenewEvery(k.retention) - k.jitter)
+		k.confirmed = k.timers.Now().Add(k.retention/20 - fold.RefreshInterval(k.retention) - k.jitter)
 		k.mu.Unlock()
 	}
 }
 
-// RenewLook is how often Renew should be called.
+// RenewPeriod returns how often Renew should be called.
 func (k *Keeper) RenewLook() time.Duration { return max(time.Second, k.retention/60) }
 
-// The errors of Declare.
+// Errors of Declare.
 var (
-	// ErrNotAppended says that the declaration is certainly not in the log.
+	// ErrNotAppended means that the declaration is certainly not in the log.
 	ErrNotAppended = errors.New("nothing was declared")
-	// ErrUnknown says that the declaration may be in the log.
+	// ErrUnknown means that the declaration may be in the log.
 	ErrUnknown = errors.New("it is not known whether it was declared")
 )
 
-// Declare puts a document forward as the successor of a base and returns the
-// verdict of the log.
+// Declare proposes a document as the successor of a base and returns the verdict
+// of the log.
 //
-// An append whose answer is lost may have taken effect. It is sent again with
-// the same token until its offset is known or the token is read, since a second
-// copy of a token changes nothing; only then anything is reported.
+// An append whose answer is lost may have taken effect. It is sent again with the
+// same token until its offset is known or the token is read; a second copy of a
+// token changes nothing. Only then is a verdict returned.
 func (k *Keeper) Declare(ctx context.Context, base uint64, text []byte, author, note string) (fold.Verdict, error) {
 	if _, err := doc.Parse(text); err != nil {
 		return fold.Verdict{}, fmt.Errorf("declare: %w: %w", ErrNotAppended, err)
 	}
-	rec := fold.Record{Kind: fold.Declare, Base: base, Found: base == 0 && k.lost(), Token: rand.Text(), Author: author, Note: note, Doc: text}
+	rec := fold.Record{Kind: fold.Declare, Base: base, Found: base == 0 && k.noRevision(), Token: rand.Text(), Author: author, Note: note, Doc: text}
 	data, err := rec.Encode()
 	if err != nil {
 		return fold.Verdict{}, fmt.Errorf("declare: %w: %w", ErrNotAppended, err)
 	}
 	unsure := false
 	for {
-		at, err := k.log.Append(ctx, data)
+		offset, err := k.log.Append(ctx, data)
 		if err == nil {
-			return k.settle(ctx, rec.Token, at)
+			return k.awaitVerdict(ctx, rec.Token, offset)
 		}
 		unsure = unsure || errors.Is(err, ledger.ErrUnsure)
-		rest(ctx, backLeast)
+		sleep(ctx, minBackoff)
 		if v, ok := k.verdict(rec.Token); ok {
 			return v, nil
 		}
@@ -211,38 +211,38 @@
 	}
 }
 
-// lost reports whether nobody knows any revision: the log's records expired, and
-// neither it nor a peer had one to give. Only then may a declaration begin again.
-func (k *Keeper) lost() bool {
+// noRevision reports whether no revision can be known any more: the log's records
+// expired, and no peer sent one. Only then may a declaration found a new history.
+func (k *Keeper) noRevision() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	_, ok := k.fold.Current()
 	return !ok && !k.fold.Known() && k.fold.Next() > 0
 }
 
-// settle waits until the record at an offset is folded.
-func (k *Keeper) settle(ctx context.Context, token string, at int64) (fold.Verdict, error) {
+// awaitVerdict waits until the record at an offset is applied.
+func (k *Keeper) awaitVerdict(ctx context.Context, token string, offset int64) (fold.Verdict, error) {
 	for {
 		k.mu.Lock()
 		v, ok := k.fold.Verdict(token)
-		past, news := k.fold.Next() > at, k.news
+		applied, changed := k.fold.Next() > offset, k.changed
 		k.mu.Unlock()
 		if ok {
 			return v, nil
 		}
-		if past {
-			return k.byToken(token)
+		if applied {
+			return k.adoptedVerdict(token)
 		}
 		select {
-		case <-news:
+		case <-changed:
 		case <-ctx.Done():
 			return fold.Verdict{}, fmt.Errorf("declare: %w: %w", ErrUnknown, ctx.Err())
 		}
 	}
 }
 
-// byToken judges a declaration that was passed over by adopting a peer's state.
-func (k *Keeper) byToken(token string) (fold.Verdict, error) {
+// adoptedVerdict returns the verdict on a declaration whose record was skipped by adopting a peer's revision.
+func (k *Keeper) adoptedVerdict(token string) (fold.Verdict, error) {
 	r, ok := k.Current()
 	if ok && r.Token == token {
 		return fold.Verdict{Won: true, Rev: r.Rev, Author: r.Author, Token: token}, nil
@@ -256,7 +256,7 @@
 	return k.fold.Verdict(token)
 }
 
-func rest(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/internal/conf/plan/decl.go
+++ b/internal/conf/plan/decl.go
@@ -2,33 +2,33 @@
 
 import "strings"
 
-// Decl is one thing that operators declare and that stands until they take it back: a version of
-// the configuration, or that a failure domain is cordoned.
+// Decl is a declaration by operators, in force until they withdraw it: a version of the
+// configuration, or the cordon of a failure domain.
 type Decl struct {
-	Plan   *Plan  // nil in a cordon
-	Cordon string // the failure domain whose endpoints get no new work; empty in a configuration
+	Plan   *Plan  // nil for a cordon
+	Cordon string // the failure domain whose endpoints get no new work; empty for a configuration
 }
 
 const (
-	keyPlan    = "plan"
-	keyCordons = "cordon/"
+	keyPlan      = "plan"
+	cordonPrefix = "cordon/"
 )
 
-// Key is what a declaration is kept under; a newer one under the same key replaces it.
+// Key returns the key that the declaration is stored under; a newer one replaces it.
 func (d Decl) Key() string {
 	if d.Cordon != "" {
-		return keyCordons + d.Cordon
+		return cordonPrefix + d.Cordon
 	}
 	return keyPlan
 }
 
-// Same reports whether another declaration under the same key says the same.
-func (d Decl) Same(o Decl) bool {
-	if d.Plan == nil || o.Plan == nil {
-		return d == o
+// Same reports whether another declaration under the same key is equal.
+func (d Decl) Same(other Decl) bool {
+	if d.Plan == nil || other.Plan == nil {
+		return d == other
 	}
-	return d.Plan.Version == o.Plan.Version
+	return d.Plan.Version == other.Plan.Version
 }
 
-// Cordoned returns the failure domain that a key cordons, if it is the key of a cordon.
-func Cordoned(key string) (domain string, ok bool) { return strings.CutPrefix(key, keyCordons) }
+// Cordoned returns the failure domain of a cordon's key; ok is false for other keys.
+func Cordoned(key string) (domain string, ok bool) { return strings.CutPrefix(key, cordonPrefix) }
--- a/internal/conf/plan/plan.go
+++ b/internal/conf/plan/plan.go
@@ -1,5 +1,5 @@
-// Package plan has the queues that jobs are submitted to, as the operators last
-// declared them for deployments whose configuration the platform's store keeps.
+// Package plan holds the configuration of deployments that keep it in the platform's
+// store: the queues that jobs are submitted to, as operators last declared them.
 package plan
 
 import (
@@ -8,27 +8,27 @@
 	"time"
 )
 
-// Queue takes jobs of one kind.
+// Queue is a queue for jobs of one kind.
 type Queue struct {
 	Name     string
 	Host     string
-	Prefix   string // of the path
-	Pool     string // endpoints that run its jobs
-	Rank     int    // 0 goes first
-	Attempts int    // failed runs of one task that fail a job
-	Stretch  float64
-	Slack    time.Duration
-	Timeout  time.Duration // longest time for an answer; 0 for none
-	Advised  bool          // an outside service picks the endpoints
+	Prefix   string        // path prefix of its requests
+	Pool     string        // the endpoints that run its jobs
+	Rank     int           // priority; 0 is served first
+	Attempts int           // failed runs of one task after which its job fails
+	Stretch  float64       // latency objective: Stretch times the work
+	Slack    time.Duration // plus Slack
+	Timeout  time.Duration // longest time to an answer; 0 for no limit
+	Advised  bool          // an external service picks the endpoints
 }
 
-// Plan is one version of the configuration; it never changes.
+// Plan is one version of the configuration; it is immutable.
 type Plan struct {
 	Version int64
 	Queues  []Queue
-	Header  int           // most bytes of a request's header; 0 for no limit
-	Body    int           // most bytes of a request's body
-	Idle    time.Duration // how long an idle connection of a caller is kept
+	Header  int           // largest request header in bytes; 0 for no limit
+	Body    int           // largest request body in bytes
+	Idle    time.Duration // how long a caller's idle connection is kept open
 }
 
 // Uses reports whether a queue's jobs run on a pool's endpoints.
@@ -36,7 +36,7 @@
 	return slices.ContainsFunc(p.Queues, func(q Queue) bool { return q.Pool == pool })
 }
 
-// Find returns the queue with the longest prefix of a path, or nil.
+// Find returns the queue of the host with the longest prefix of the path, or nil.
 func (p *Plan) Find(host, path string) (best *Queue) {
 	for i := range p.Queues {
 		q := &p.Queues[i]
--- a/internal/conf/setup/setup.go
+++ b/internal/conf/setup/setup.go
@@ -1,4 +1,4 @@
-// Package setup has the settings of one daemon: what it learns from its file and
+// Package setup defines the settings of one daemon, which come from its file and
 // flags, as opposed to the declared document of the service.
 package setup
 
@@ -17,7 +17,7 @@
 	"dahliawinch/internal/task/place"
 )
 
-// Settings of an entry daemon; every one is also a flag of the same name.
+// Settings are the settings of an entry daemon; each is also a flag of the same name.
 type Settings struct {
 	Domain    string           `json:"domain"`
 	Stream    string           `json:"stream"`
@@ -28,29 +28,29 @@
 	List      netip.AddrPort   `json:"list"`
 	Peers     []netip.AddrPort `json:"peers,omitempty"`
 	Policy    string           `json:"policy"`
-	Memory    int64            `json:"memory"`
-	Term      valid.Span       `json:"term"`
-	Retention valid.Span       `json:"retention"`
-	Linger    valid.Span       `json:"linger"`
+	Memory    int64            `json:"memory"`    // bytes of submissions held in memory
+	Term      valid.Span       `json:"term"`      // how long a ticket may start work
+	Retention valid.Span       `json:"retention"` // of the log
+	Linger    valid.Span       `json:"linger"`    // how long a leaving VM still listens
 	Level     string           `json:"level"`
 	// Operators are the SHA-256 hashes of operator keys, by the operator's name.
 	Operators map[string]string `json:"operators,omitempty"`
-	// TLS names files of keys and certificates; empty for none.
+	// TLS names the key and certificate files; empty for no TLS.
 	TLS TLS `json:"tls,omitzero"`
 }
 
-// TLS names the PEM files for a VM's listeners. The same certificate serves callers,
-// operators and, with the authority for both sides, the other entry VMs.
+// TLS names the PEM files for a VM's listeners. The same certificate is used for callers,
+// operators and, verified by the authority on both sides, the other entry VMs.
 type TLS struct {
 	Cert      string `json:"cert,omitempty"`
 	Key       string `json:"key,omitempty"`
-	Authority string `json:"authority,omitempty"` // of the entry VMs
+	Authority string `json:"authority,omitempty"` // CA of the entry VMs' certificates
 	Mesh      bool   `json:"mesh,omitempty"`      // mutual TLS between entry VMs
 	Caller    bool   `json:"caller,omitempty"`
 	Operator  bool   `json:"operator,omitempty"`
 }
 
-// Default returns the settings that a file or flag changes.
+// Default returns the default settings, which the file and flags override.
 func Default() Settings {
 	return Settings{
 		Policy: place.Homes, Memory: flow.DefaultMemory, Term: valid.Span(flow.DefaultTerm),
@@ -58,7 +58,7 @@
 	}
 }
 
-// Read takes over a file's settings.
+// Read overrides the settings with those of a file.
 func (s *Settings) Read(path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -70,43 +70,43 @@
 	return nil
 }
 
-// Check returns every problem of the settings.
+// Check returns all problems of the settings.
 func (s *Settings) Check() (ps []valid.Problem) {
-	need := func(ok bool, field, wrong, mend string) {
+	require := func(ok bool, field, wrong, fix string) {
 		if !ok {
-			ps = append(ps, valid.Problem{Field: field, Wrong: wrong, Mend: mend})
+			ps = append(ps, valid.Problem{Field: field, Wrong: wrong, Mend: fix})
 		}
 	}
-	need(s.Domain != "", "domain", "is missing", "name this VM's failure domain")
-	need(s.Stream != "" && !strings.ContainsAny(s.Stream, "/?# "), "stream", fmt.Sprintf("%q is no name", s.Stream), "name the service's stream of the log")
+	require(s.Domain != "", "domain", "is missing", "name this VM's failure domain")
+	require(s.Stream != "" && !strings.ContainsAny(s.Stream, "/?# "), "stream", fmt.Sprintf("%q is no name", s.Stream), "name the service's stream of the log")
 	for _, a := range []struct {
 		name string
 		at   netip.AddrPort
 	}{{"mesh", s.Mesh}, {"caller", s.Caller}, {"operator", s.Operator}, {"log", s.Log}, {"list", s.List}} {
-		need(a.at.IsValid() && a.at.Port() > 0, a.name, "is no address", "write an IP number and a port, such as 127.0.0.1:7001")
+		require(a.at.IsValid() && a.at.Port() > 0, a.name, "is no address", "write an IP number and a port, such as 127.0.0.1:7001")
 	}
 	if _, err := place.ByName[*place.Endpoint](s.Policy); err != nil {
-		need(false, "policy", err.Error(), "use "+place.Homes)
+		require(false, "policy", err.Error(), "use "+place.Homes)
 	}
-	need(s.Memory >= 1<<20, "memory", fmt.Sprint(s.Memory), "use at least 1048576 bytes")
-	need(s.Term.Std() >= time.Second && s.Term.Std() <= time.Hour, "term", s.Term.Std().String(), "use 1s to 1h")
-	need(s.Retention.Std() >= time.Minute, "retention", s.Retention.Std().String(), "use the log's retention, at least 1m")
-	need(s.Linger >= 0 && s.Linger.Std() <= time.Minute, "linger", s.Linger.Std().String(), "use 0s to 1m")
+	require(s.Memory >= 1<<20, "memory", fmt.Sprint(s.Memory), "use at least 1048576 bytes")
+	require(s.Term.Std() >= time.Second && s.Term.Std() <= time.Hour, "term", s.Term.Std().String(), "use 1s to 1h")
+	require(s.Retention.Std() >= time.Minute, "retention", s.Retention.Std().String(), "use the log's retention, at least 1m")
+	require(s.Linger >= 0 && s.Linger.Std() <= time.Minute, "linger", s.Linger.Std().String(), "use 0s to 1m")
 	for name, h := range s.Operators {
 		raw, err := hex.DecodeString(h)
-		need(err == nil && len(raw) == sha256.Size, "operators."+name, "is not a SHA-256 in hex", "make one with: dahliawinch keys hash")
+		require(err == nil && len(raw) == sha256.Size, "operators."+name, "is not a SHA-256 in hex", "make one with: dahliawinch keys hash")
 	}
-	wants := s.TLS.Mesh || s.TLS.Caller || s.TLS.Operator
-	need(!wants || s.TLS.Cert != "" && s.TLS.Key != "", "tls.cert", "is missing", "name the PEM files of certificate and key")
-	need(!s.TLS.Mesh || s.TLS.Authority != "", "tls.authority", "is missing", "name the PEM file of the entry VMs' authority")
+	useTLS := s.TLS.Mesh || s.TLS.Caller || s.TLS.Operator
+	require(!useTLS || s.TLS.Cert != "" && s.TLS.Key != "", "tls.cert", "is missing", "name the PEM files of certificate and key")
+	require(!s.TLS.Mesh || s.TLS.Authority != "", "tls.authority", "is missing", "name the PEM file of the entry VMs' authority")
 	_, ok := levels[s.Level]
-	need(ok, "level", fmt.Sprintf("%q is no level", s.Level), "use debug, info, warn or error")
+	require(ok, "level", fmt.Sprintf("%q is no level", s.Level), "use debug, info, warn or error")
 	return ps
 }
 
 var levels = map[string]int{"debug": -4, "info": 0, "warn": 4, "error": 8}
 
-// Encode writes the settings as a file.
+// Encode returns the settings in the format of the file.
 func (s *Settings) Encode() ([]byte, error) {
 	text, err := json.MarshalIndent(s, "", "  ")
 	if err != nil {
@@ -115,20 +115,20 @@
 	return text, nil
 }
 
-// LogLevel is the level for log/slog.
+// LogLevel returns the level for log/slog.
 func (s *Settings) LogLevel() int { return levels[s.Level] }
 
-// Set changes one setting by the text of its flag.
+// Set changes one setting to the text of its flag.
 func (s *Settings) Set(name, text string) error {
 	value := json.RawMessage(text)
 	switch name {
 	case "memory":
 	case "peers":
-		list, err := json.Marshal(strings.Split(text, ","))
+		addrs, err := json.Marshal(strings.Split(text, ","))
 		if err != nil {
 			return fmt.Errorf("flag %s: %w", name, err)
 		}
-		value = list
+		value = addrs
 	default:
 		quoted, err := json.Marshal(text)
 		if err != nil {
@@ -136,11 +136,11 @@
 		}
 		value = quoted
 	}
-	one, err := json.Marshal(map[string]json.RawMessage{name: value})
+	object, err := json.Marshal(map[string]json.RawMessage{name: value})
 	if err != nil {
 		return fmt.Errorf("flag %s: %w", name, err)
 	}
-	if err := valid.Strict(one, s); err != nil {
+	if err := valid.Strict(object, s); err != nil {
 		return fmt.Errorf("flag %s: %w", name, err)
 	}
 	return nil
--- a/internal/conf/valid/valid.go
+++ b/internal/conf/valid/valid.go
@@ -1,5 +1,5 @@
-// Package valid has what documents and settings share: durations as text, strict JSON, and
-// problems that name the field, what is wrong and how to mend it.
+// Package valid holds what documents and settings share for validation: durations as text,
+// strict JSON, and problems that name the field, what is wrong and how to fix it.
 package valid
 
 import (
@@ -18,10 +18,10 @@
 // Std returns the span as a time.Duration.
 func (s Span) Std() time.Duration { return time.Duration(s) }
 
-// MarshalText writes the span as Go durations are written.
+// MarshalText writes the span in the format of time.Duration.
 func (s Span) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
 
-// UnmarshalText reads a Go duration.
+// UnmarshalText parses a Go duration.
 func (s *Span) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -31,22 +31,22 @@
 	return nil
 }
 
-// Problem is one thing wrong with a document or settings, and how to mend it.
+// Problem is one thing wrong with a document or settings, and how to fix it.
 type Problem struct {
 	Field string `json:"field"`
 	Wrong string `json:"wrong"`
 	Mend  string `json:"mend"`
 }
 
-// Bad returns a problem.
-func Bad(field, wrong, mend string) Problem { return Problem{field, wrong, mend} }
+// NewProblem returns a problem.
+func Bad(field, wrong, fix string) Problem { return Problem{field, wrong, fix} }
 
 func (p Problem) String() string { return fmt.Sprintf("%s: %s; %s", p.Field, p.Wrong, p.Mend) }
 
-// Error is the error for text with problems.
+// Error lists the problems of an invalid document or settings.
 type Error struct{ Problems []Problem }
 
-// Invalid returns the error for some problems.
+// NewError returns the error for some problems.
 func Invalid(ps ...Problem) *Error { return &Error{ps} }
 
 func (e *Error) Error() string {
@@ -60,7 +60,7 @@
 // ErrTrailing is returned for text after the end of a JSON value.
 var ErrTrailing = errors.New("more text after the end")
 
-// Strict decodes one JSON value and refuses unknown fields and trailing text.
+// DecodeStrict decodes one JSON value and rejects unknown fields and trailing text.
 func Strict(text []byte, into any) error {
 	dec := json.NewDecoder(bytes.NewReader(text))
 	dec.DisallowUnknownFields()
@@ -73,18 +73,18 @@
 	return nil
 }
 
-// JSONProblem names the field and the mend for an error of Strict.
-func JSONProblem(whole string, err error) Problem {
+// JSONProblem returns the problem for an error of DecodeStrict; root names the whole value.
+func JSONProblem(root string, err error) Problem {
 	var typed *json.UnmarshalTypeError
 	if errors.As(err, &typed) {
 		field := typed.Field
 		if field == "" {
-			field = whole
+			field = root
 		}
 		return Problem{field, "is a " + typed.Value, "write a " + typed.Type.String()}
 	}
 	if _, name, ok := strings.Cut(err.Error(), "unknown field "); ok {
 		return Problem{strings.Trim(name, `"`), "is not a known field", "remove it, or mend its spelling"}
 	}
-	return Problem{whole, strings.TrimPrefix(err.Error(), "decode JSON: "), "mend the JSON"}
+	return Problem{root, strings.TrimPrefix(err.Error(), "decode JSON: "), "mend the JSON"}
 }
