--- a/internal/edge/call/body.go
+++ b/internal/edge/call/body.go
@@ -1,4 +1,4 @@
-// Package call is the callers' side of an entry VM: HTTP with JSON.
+// Package call serves the HTTP API that callers use on an entry VM, with JSON bodies.
 package call
 
 import (
@@ -12,7 +12,7 @@
 	"dahliawinch/internal/task/job"
 )
 
-// Job is the body of a submission.
+// Job is the request body of a job submission.
 type Job struct {
 	Class    string     `json:"class"`
 	Kind     string     `json:"kind,omitempty"`
@@ -22,14 +22,14 @@
 	Tasks    []Task     `json:"tasks"`
 }
 
-// Task is one task of a submission.
+// Task is one task of a submitted job.
 type Task struct {
 	Body json.RawMessage `json:"body"`
 	Run  valid.Span      `json:"run,omitempty"`
 	Need job.Size        `json:"need,omitzero"`
 }
 
-// Answer is the body of an answer.
+// Answer is the response body for jobs and tickets.
 type Answer struct {
 	Outcome string            `json:"outcome"`
 	Reason  job.Reason        `json:"reason,omitempty"`
@@ -40,7 +40,7 @@
 	Tickets int               `json:"tickets,omitempty"`
 }
 
-// request turns a body into a submission of a tenant.
+// request converts the body into a tenant's job request.
 func (j *Job) request(tenant string) *job.Request {
 	r := &job.Request{
 		Tenant: tenant, Class: j.Class, Kind: j.Kind, Ticket: j.Ticket,
@@ -53,16 +53,16 @@
 	return r
 }
 
-// decode reads a submission. The kind becomes part of metrics and memory, so its
-// length is bounded.
-func decode(text []byte) (*Job, *job.Answer) {
+// decodeJob parses and validates a submission. The length of the kind is limited
+// because it goes into metrics and is kept in memory.
+func decodeJob(text []byte) (*Job, *job.Answer) {
 	j := &Job{}
 	if err := valid.Strict(text, j); err != nil {
 		p := valid.JSONProblem("body", err)
 		return nil, job.Refuse(job.BadRequest, 0, "%s", p)
 	}
-	if len(j.Kind) > mostKind {
-		return nil, job.Refuse(job.BadRequest, 0, "kind: %d characters; use at most %d", len(j.Kind), mostKind)
+	if len(j.Kind) > maxKindLen {
+		return nil, job.Refuse(job.BadRequest, 0, "kind: %d characters; use at most %d", len(j.Kind), maxKindLen)
 	}
 	for i := range j.Tasks {
 		n := j.Tasks[i].Need
@@ -76,10 +76,10 @@
 	return j, nil
 }
 
-const mostKind = 64
+const maxKindLen = 64 // in bytes
 
-// status maps answers to status codes: each outcome has codes of its own.
-func status(a *job.Answer) int {
+// statusCode returns the HTTP status of an answer; no two outcomes share a code.
+func statusCode(a *job.Answer) int {
 	switch a.Outcome {
 	case job.Done:
 		return fasthttp.StatusOK
@@ -105,8 +105,8 @@
 	}
 }
 
-// write puts an answer into a response.
-func write(ctx *fasthttp.RequestCtx, a *job.Answer) {
+// writeAnswer encodes an answer as the HTTP response.
+func writeAnswer(ctx *fasthttp.RequestCtx, a *job.Answer) {
 	out := Answer{
 		Outcome: a.Outcome.String(), Reason: a.Reason, Detail: a.Detail, Retry: valid.Span(a.Retry),
 		Grant: a.Grant, Tickets: a.Tickets,
@@ -122,11 +122,11 @@
 		out.Results = append(out.Results, r)
 	}
 	text, err := json.Marshal(&out)
-	if err != nil { // results were checked, so this can't fail for a reason of theirs
+	if err != nil { // not caused by the results, which are valid JSON by now
 		ctx.Error(fmt.Sprintf(`{"outcome":"failed","detail":%q}`, err), fasthttp.StatusBadGateway)
 		return
 	}
-	ctx.SetStatusCode(status(a))
+	ctx.SetStatusCode(statusCode(a))
 	ctx.SetContentType("application/json")
 	if a.Retry > 0 {
 		seconds := (a.Retry + time.Second - 1) / time.Second
--- a/internal/edge/call/body_test.go
+++ b/internal/edge/call/body_test.go
@@ -6,8 +6,8 @@
 	"dahliawinch/internal/task/job"
 )
 
-// FuzzDecode: whatever a caller sends is either a job with a body in each task or a
-// refusal that says what to mend.
+// FuzzDecode checks that any input decodes either to a job with a body in each task or
+// to a refusal that says what to correct.
 func FuzzDecode(f *testing.F) {
 	for _, s := range []string{
 		`{"class":"a","tasks":[{"body":1,"run":"5ms","need":{"cores":2}}],"deadline":"2s"}`,
@@ -16,13 +16,13 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		j, refusal := decode(text)
+		j, refusal := decodeJob(text)
 		if (j == nil) == (refusal == nil) {
-			t.Fatal("neither a job nor a refusal, or both")
+			t.Fatal("want either a job or a refusal")
 		}
 		if refusal != nil {
 			if refusal.Outcome != job.Refused || refusal.Detail == "" {
-				t.Fatalf("refusal without a word: %+v", refusal)
+				t.Fatalf("refusal without a detail: %+v", refusal)
 			}
 			return
 		}
--- a/internal/edge/call/server.go
+++ b/internal/edge/call/server.go
@@ -19,45 +19,45 @@
 )
 
 const (
-	// sendWait is how long a caller may take to send its request.
-	sendWait = 10 * time.Second
-	// keepWait is how long an idle caller's connection is kept.
-	keepWait = 60 * time.Second
-	// bodyRoom is what JSON may add to the bodies of a submission.
-	bodyRoom = 1 << 20
-	// mostAwaited bounds the time for a ticket's answer.
-	mostAwaited = 5 * time.Second
+	// readTimeout limits the time that a caller takes to send its request.
+	readTimeout = 10 * time.Second
+	// idleTimeout is how long an idle connection is kept open.
+	idleTimeout = 60 * time.Second
+	// jsonOverhead is the number of bytes that JSON may add to the task bodies of a job.
+	jsonOverhead = 1 << 20
+	// ticketTimeout limits the wait for the answer to a ticket query.
+	ticketTimeout = 5 * time.Second
 )
 
-// Server answers callers.
+// Server serves the callers' HTTP API.
 type Server struct {
 	node *flow.Node
 	http *fasthttp.Server
 	log  *slog.Logger
 }
 
-// NewServer returns the callers' side of a node.
+// NewServer returns a server that passes callers' requests to node.
 func NewServer(node *flow.Node, log *slog.Logger) *Server {
 	s := &Server{node: node, log: log}
 	s.http = &fasthttp.Server{
-		Handler: s.handle, Name: "dahliawinch", ReadTimeout: sendWait, IdleTimeout: keepWait,
-		MaxRequestBodySize: doc.MostBytes + bodyRoom, NoDefaultDate: true, CloseOnShutdown: true,
+		Handler: s.handle, Name: "dahliawinch", ReadTimeout: readTimeout, IdleTimeout: idleTimeout,
+		MaxRequestBodySize: doc.MostBytes + jsonOverhead, NoDefaultDate: true, CloseOnShutdown: true,
 		ErrorHandler: func(ctx *fasthttp.RequestCtx, err error) {
-			write(ctx, job.Refuse(job.BadRequest, 0, "request: %v; mend the request", err))
+			writeAnswer(ctx, job.Refuse(job.BadRequest, 0, "request: %v; mend the request", err))
 			ctx.SetConnectionClose()
 		},
-		Logger: quiet{},
+		Logger: discardLogger{},
 	}
 	return s
 }
 
-// quiet drops the library's log lines: they speak of callers' broken connections.
-type quiet struct{}
+// discardLogger drops the log lines of fasthttp, which report callers' broken connections.
+type discardLogger struct{}
 
 // Printf implements fasthttp.Logger.
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
-// Serve answers until Shutdown.
+// Serve accepts connections on l until Shutdown.
 func (s *Server) Serve(l net.Listener) error {
 	if err := s.http.Serve(l); err != nil {
 		return fmt.Errorf("serve callers: %w", err)
@@ -65,22 +65,21 @@
 	return nil
 }
 
-// Shutdown closes the listener and returns when every request in progress has
-// its answer.
+// Shutdown closes the listener and waits until all requests in progress are answered.
 func (s *Server) Shutdown(ctx context.Context) error {
 	if err := s.http.ShutdownWithContext(ctx); err != nil {
-		return fmt.Errorf("end callers' connections: %w", err)
+		return fmt.Errorf("shut down callers' server: %w", err)
 	}
 	return nil
 }
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
-	tenant, refusal := s.node.Ident(key(ctx))
+	tenant, refusal := s.node.Ident(bearerKey(ctx))
 	if refusal != nil {
-		if refusal.Reason == job.NoDocument && ticketed(ctx) {
+		if refusal.Reason == job.NoDocument && hasTicket(ctx) {
 			refusal = flow.Elsewhere(refusal)
 		}
-		write(ctx, refusal)
+		writeAnswer(ctx, refusal)
 		return
 	}
 	path, method := string(ctx.Path()), string(ctx.Method())
@@ -89,29 +88,29 @@
 	case path == "/jobs" && method == fasthttp.MethodPost:
 		s.submit(ctx, tenant)
 	case path == "/tickets" && method == fasthttp.MethodPost:
-		s.grant(ctx, tenant)
+		s.issueTickets(ctx, tenant)
 	case isTicket && method == fasthttp.MethodGet:
-		s.await(ctx, tenant, ticket, s.node.Ask)
+		s.queryTicket(ctx, tenant, ticket, s.node.Ask)
 	case isTicket && method == fasthttp.MethodDelete:
-		s.await(ctx, tenant, ticket, s.node.Stop)
+		s.queryTicket(ctx, tenant, ticket, s.node.Stop)
 	default:
-		write(ctx, job.Refuse(job.BadRequest, 0, "%s %s is not served; use POST /jobs, POST /tickets, GET or DELETE /tickets/TICKET", method, path))
+		writeAnswer(ctx, job.Refuse(job.BadRequest, 0, "%s %s is not served; use POST /jobs, POST /tickets, GET or DELETE /tickets/TICKET", method, path))
 	}
 	if s.node.Draining() {
-		ctx.SetConnectionClose() // so that the caller's next request goes elsewhere
+		ctx.SetConnectionClose() // the caller's next request goes to another VM
 	}
 }
 
-// ticketed reports whether a request is about a ticket, by its path or its body.
-func ticketed(ctx *fasthttp.RequestCtx) bool {
+// hasTicket reports whether a request names a ticket in its path or body.
+func hasTicket(ctx *fasthttp.RequestCtx) bool {
 	if strings.HasPrefix(string(ctx.Path()), "/tickets/") {
 		return true
 	}
-	j, _ := decode(ctx.PostBody())
+	j, _ := decodeJob(ctx.PostBody())
 	return j != nil && j.Ticket != ""
 }
 
-func key(ctx *fasthttp.RequestCtx) string {
+func bearerKey(ctx *fasthttp.RequestCtx) string {
 	text := string(ctx.Request.Header.Peek(fasthttp.HeaderAuthorization))
 	k, ok := strings.CutPrefix(text, "Bearer ")
 	if !ok {
@@ -121,55 +120,55 @@
 }
 
 func (s *Server) submit(ctx *fasthttp.RequestCtx, tenant string) {
-	j, refusal := decode(ctx.PostBody())
+	j, refusal := decodeJob(ctx.PostBody())
 	if refusal != nil {
-		write(ctx, refusal)
+		writeAnswer(ctx, refusal)
 		return
 	}
 	if j.Deadline < 0 {
-		write(ctx, job.Refuse(job.BadRequest, 0, "deadline: %s is negative; leave it out for the class's", j.Deadline.Std()))
+		writeAnswer(ctx, job.Refuse(job.BadRequest, 0, "deadline: %s is negative; leave it out for the class's", j.Deadline.Std()))
 		return
 	}
-	life, cancel := context.WithCancel(context.Background())
+	jobCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	stop := hangup.Watch(ctx.Conn(), cancel)
 	defer stop()
-	write(ctx, s.node.Submit(life, j.request(tenant)))
+	writeAnswer(ctx, s.node.Submit(jobCtx, j.request(tenant)))
 }
 
-// count is the body of a request for tickets.
-type count struct {
+// ticketRequest is the body of a request for tickets.
+type ticketRequest struct {
 	Count int `json:"count"`
 }
 
-func (s *Server) grant(ctx *fasthttp.RequestCtx, tenant string) {
-	c := count{Count: 1}
+func (s *Server) issueTickets(ctx *fasthttp.RequestCtx, tenant string) {
+	c := ticketRequest{Count: 1}
 	if len(ctx.PostBody()) > 0 {
 		if err := valid.Strict(ctx.PostBody(), &c); err != nil {
-			write(ctx, job.Refuse(job.BadRequest, 0, "%s", valid.JSONProblem("body", err)))
+			writeAnswer(ctx, job.Refuse(job.BadRequest, 0, "%s", valid.JSONProblem("body", err)))
 			return
 		}
 	}
 	if c.Count < 1 || c.Count > flow.MostGrant {
-		write(ctx, job.Refuse(job.BadRequest, 0, "count: %d tickets; ask for 1 to %d", c.Count, flow.MostGrant))
+		writeAnswer(ctx, job.Refuse(job.BadRequest, 0, "count: %d tickets; ask for 1 to %d", c.Count, flow.MostGrant))
 		return
 	}
 	text, err := s.node.Grant(tenant, c.Count)
 	if err != nil {
-		write(ctx, job.Refuse(job.Overload, time.Second, "%v", err))
+		writeAnswer(ctx, job.Refuse(job.Overload, time.Second, "%v", err))
 		return
 	}
 	body, err := json.Marshal(Answer{Outcome: job.Done.String(), Grant: text, Tickets: c.Count})
 	if err != nil {
-		write(ctx, job.Refuse(job.Overload, time.Second, "%v", err))
+		writeAnswer(ctx, job.Refuse(job.Overload, time.Second, "%v", err))
 		return
 	}
 	ctx.SetContentType("application/json")
 	ctx.SetBody(body)
 }
 
-func (s *Server) await(ctx *fasthttp.RequestCtx, tenant, ticket string, ask func(context.Context, string, string) *job.Answer) {
-	life, cancel := context.WithTimeout(context.Background(), mostAwaited)
+func (s *Server) queryTicket(ctx *fasthttp.RequestCtx, tenant, ticket string, ask func(context.Context, string, string) *job.Answer) {
+	askCtx, cancel := context.WithTimeout(context.Background(), ticketTimeout)
 	defer cancel()
-	write(ctx, ask(life, tenant, ticket))
+	writeAnswer(ctx, ask(askCtx, tenant, ticket))
 }
--- a/internal/edge/call/server_test.go
+++ b/internal/edge/call/server_test.go
@@ -19,18 +19,18 @@
 	"dahliawinch/internal/task/place"
 )
 
-// Symptom: a caller is told "not run" of a top-up that is charged. Sequence: it sends
-// the top-up to two VMs; one runs it, the other has just started and knows no document.
-// Cause: the second refuses before it looks whose the ticket is. (Found by
-// TestRandomFaultsBreakNoPromise in package scene, seed 132.)
-func TestVMWithoutDocumentRefusesNothingUnderATicket(t *testing.T) {
+// A caller sends a job under a ticket to two VMs: one runs it, the other has just
+// started and has no document. The second VM must answer "unknown": if it refused
+// before it checked for a ticket, the caller would take a job that ran for one that
+// did not. Found by a random-fault test of package scene, seed 132.
+func TestTicketIsUnknownWithoutDocument(t *testing.T) {
 	is := is.New(t)
-	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
+	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	node, err := flow.New(t.Context(), flow.Config{Self: netip.MustParseAddrPort("127.0.0.1:1"), Policy: place.Homes},
-		flow.Parts{Timers: timer.New(timer.Wall{}), Meter: meter.New(), Log: quiet})
+		flow.Parts{Timers: timer.New(timer.Wall{}), Meter: meter.New(), Log: log})
 	is.NoErr(err)
 	l := fasthttputil.NewInmemoryListener()
-	s := NewServer(node, quiet)
+	s := NewServer(node, log)
 	go func() { _ = s.Serve(l) }()
 	client := http.Client{Transport: &http.Transport{DialContext: func(context.Context, string, string) (net.Conn, error) { return l.Dial() }}}
 	for _, c := range []struct{ method, path, body, outcome string }{
--- a/internal/edge/call/slow_test.go
+++ b/internal/edge/call/slow_test.go
@@ -15,7 +15,7 @@
 	"github.com/valyala/fasthttp/fasthttputil"
 )
 
-// TestMain serves one request outside of any bubble; see package wire.
+// TestMain serves one request outside of any synctest bubble; see TestMain in package wire.
 func TestMain(m *testing.M) {
 	l := fasthttputil.NewInmemoryListener()
 	s := &fasthttp.Server{Handler: func(*fasthttp.RequestCtx) {}}
@@ -25,13 +25,13 @@
 	os.Exit(m.Run())
 }
 
-// Symptom: a VM runs out of connections and memory. Sequence: many callers send a byte
-// every few seconds and never finish. Cause: a request may take for ever to arrive.
-func TestSlowSenderIsCutAndStartsNothing(t *testing.T) {
+// Callers that send a byte every few seconds and never finish their request would use
+// up a VM's connections and memory if there were no time limit for reading a request.
+func TestSlowRequestTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		l := fasthttputil.NewInmemoryListener()
-		s := NewServer(nil, slog.New(slog.NewTextHandler(io.Discard, nil))) // no request gets as far as the node
+		s := NewServer(nil, slog.New(slog.NewTextHandler(io.Discard, nil))) // no request reaches the node
 		done := make(chan error, 1)
 		go func() { done <- s.Serve(l) }()
 		c, err := l.Dial()
@@ -49,10 +49,10 @@
 		}()
 		text, err := io.ReadAll(c)
 		is.NoErr(err)
-		is.True(time.Since(began) <= sendWait+time.Second)
+		is.True(time.Since(began) <= readTimeout+time.Second)
 		is.True(strings.Contains(string(text), `"outcome":"refused"`))
 		is.NoErr(l.Close())
 		is.NoErr(<-done)
-		time.Sleep(time.Hour) // the library's workers end in their own time
+		time.Sleep(time.Hour) // fasthttp's workers end after an idle time
 	})
 }
