--- a/internal/edge/hangup/hangup.go
+++ b/internal/edge/hangup/hangup.go
@@ -1,4 +1,4 @@
-// Package hangup notices callers that leave while their request is worked on.
+// Package hangup detects callers that disconnect while their request is in progress.
 package hangup
 
 import (
@@ -12,21 +12,21 @@
 )
 
 const (
-	// patient is how long a request runs before its connection is looked at again.
-	patient = 50 * time.Millisecond
-	// lookEvery is the time between two looks.
-	lookEvery = 100 * time.Millisecond
-	// Notice is how long the end of a caller's connection may be under way.
+	// firstCheck is the time until a request's connection is checked again.
+	firstCheck = 50 * time.Millisecond
+	// checkInterval is the time between later checks.
+	checkInterval = 100 * time.Millisecond
+	// CloseDelay is how long the close of a caller's connection may take to reach the VM.
 	Notice = 100 * time.Millisecond
 )
 
-// Open reports whether a caller's connection is open, as far as its end has arrived.
+// IsOpen reports whether no close of a caller's connection has arrived yet.
 func Open(c net.Conn) bool {
 	sys, ok := rawConn(c)
 	return !ok || !hungUp(sys)
 }
 
-// rawConn returns the connection below TLS; false if the kernel doesn't know it.
+// rawConn returns the socket below TLS, and false if the connection is no socket.
 func rawConn(c net.Conn) (syscall.RawConn, bool) {
 	if t, ok := c.(*tls.Conn); ok {
 		c = t.NetConn()
@@ -39,26 +39,26 @@
 	return sys, err == nil
 }
 
-// Watch calls fn when the caller closes its connection while its request is
-// being worked on, at once if it has. The HTTP library reads nothing meanwhile, so waiting work
-// would keep its place in the queue for a caller that is gone.
+// Watch calls fn when the caller closes its connection before stop is called, at once
+// if it is closed already. fasthttp does not read while it handles a request, so without
+// this a job would stay queued for a caller that is gone.
 func Watch(c net.Conn, fn func()) (stop func()) {
 	sys, ok := rawConn(c)
 	if !ok {
 		return func() {}
 	}
-	if hungUp(sys) { // the request waited here while the VM was paused
+	if hungUp(sys) { // closed while the VM was paused, before the request was read
 		fn()
 		return func() {}
 	}
-	w := &watch{conn: sys, fn: fn}
+	w := &watcher{conn: sys, fn: fn}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.timer = time.AfterFunc(patient, w.look)
+	w.timer = time.AfterFunc(firstCheck, w.check)
 	return w.stop
 }
 
-type watch struct {
+type watcher struct {
 	mu    sync.Mutex
 	ended bool
 	conn  syscall.RawConn
@@ -66,7 +66,7 @@
 	timer *time.Timer
 }
 
-func (w *watch) look() {
+func (w *watcher) check() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.ended {
@@ -77,18 +77,18 @@
 		w.fn()
 		return
 	}
-	w.timer.Reset(lookEvery)
+	w.timer.Reset(checkInterval)
 }
 
-func (w *watch) stop() {
+func (w *watcher) stop() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.ended = true
 	w.timer.Stop()
 }
 
-// hungUp asks the kernel whether the other end has closed, which takes no bytes of
-// a next request and works under TLS too.
+// hungUp reports whether the kernel has seen the other end close. It consumes no bytes
+// of a next request and also works under TLS.
 func hungUp(c syscall.RawConn) (gone bool) {
 	err := c.Control(func(fd uintptr) {
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
--- a/internal/edge/hangup/hangup_test.go
+++ b/internal/edge/hangup/hangup_test.go
@@ -8,8 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// Guards against work for a caller that left before its request was read, as while the VM was paused.
-func TestCallerThatHasLeftIsNoticedAtOnce(t *testing.T) {
+// A caller may disconnect before its request is read, as while the VM is paused; no work
+// may be done for it.
+func TestClosedCallerIsReportedAtOnce(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -19,12 +20,12 @@
 	c, err := l.Accept()
 	is.NoErr(err)
 	defer c.Close() //nolint:errcheck // of a test
-	left := false
-	stop := Watch(c, func() { left = true })
+	closed := false
+	stop := Watch(c, func() { closed = true })
 	stop()
-	is.True(!left) // it is there
+	is.True(!closed) // still connected
 	is.NoErr(caller.Close())
-	time.Sleep(20 * time.Millisecond) // its last packet is on its way
-	Watch(c, func() { left = true })()
-	is.True(left)
+	time.Sleep(20 * time.Millisecond) // time for its last packet to arrive
+	Watch(c, func() { closed = true })()
+	is.True(closed)
 }
