--- a/internal/edge/wire/conn.go
+++ b/internal/edge/wire/conn.go
@@ -18,24 +18,24 @@
 
 // The headers of the endpoint protocol, see docs/PLATFORM.md.
 const (
-	AttemptHeader = "X-Attempt" // unique name of the attempt
+	AttemptHeader = "X-Attempt" // unique ID of the attempt
 	StartedHeader = "X-Started" // "no" proves that the task did not start
-	LeavingHeader = "X-Leaving" // "yes" says that the endpoint leaves
+	LeavingHeader = "X-Leaving" // "yes" means that the endpoint is leaving
 	runPath       = "/run"
-	askPath       = "/health"
+	healthPath    = "/health"
 )
 
 // conn is one connection to an endpoint.
 type conn struct {
 	net.Conn
-	r    *bufio.Reader
-	w    *bufio.Writer
-	born time.Time
-	last time.Time // of the last answer
+	r          *bufio.Reader
+	w          *bufio.Writer
+	opened     time.Time
+	lastAnswer time.Time // time of the last answer
 }
 
 func newConn(c net.Conn, now time.Time) *conn {
-	return &conn{Conn: c, r: bufio.NewReader(c), w: bufio.NewWriter(c), born: now, last: now}
+	return &conn{Conn: c, r: bufio.NewReader(c), w: bufio.NewWriter(c), opened: now, lastAnswer: now}
 }
 
 var (
@@ -43,15 +43,15 @@
 	errStatus     = errors.New("status of the endpoint")
 )
 
-// exchange runs one task. With ask it first makes sure that the connection still
-// carries bytes both ways, before anything that could start the task leaves.
+// exchange runs one task. With probe it first checks that the connection still works
+// in both directions, before it sends anything that could start the task.
 //
-// What goes wrong without it: something between the two ends has lost track of an
-// idle connection; the request vanishes, and since it may have started it can't
-// be tried again. One notices jobs that end as silent on endpoints that answer
-// others. "Expect: 100-continue" costs one round trip and keeps the body back
-// until the endpoint has spoken, so a silent connection loses nothing.
-func (c *conn) exchange(at netip.AddrPort, x flow.Exchange, ask bool) (flow.Result, bool) {
+// A device on the path, such as a firewall, may drop an idle connection without closing
+// it. A request sent over it is lost, and can't be retried because the task may have
+// started: jobs then end as silent on endpoints that answer others. With
+// "Expect: 100-continue", at the cost of one round trip, the body is sent only after
+// the endpoint has answered, so a silent connection loses no task.
+func (c *conn) exchange(at netip.AddrPort, x flow.Exchange, probe bool) (flow.Result, bool) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	req.Header.SetMethod(fasthttp.MethodPost)
@@ -60,24 +60,24 @@
 	req.Header.SetContentType("application/json")
 	req.Header.Set(AttemptHeader, x.Attempt)
 	req.Header.SetContentLength(len(x.Body))
-	if ask {
+	if probe {
 		req.Header.Set(fasthttp.HeaderExpect, "100-continue")
-		if r, ok := c.expect(req); !ok {
+		if r, ok := c.awaitContinue(req); !ok {
 			return r, false
 		}
 	}
 	if !x.Begin() {
 		return flow.Result{Ending: flow.Unsent}, false
 	}
-	return c.send(req, x, ask)
+	return c.send(req, x, probe)
 }
 
-// expect sends the head of the request and waits for the word to go on.
-func (c *conn) expect(req *fasthttp.Request) (flow.Result, bool) {
+// awaitContinue sends the request header and waits for the status 100 Continue.
+func (c *conn) awaitContinue(req *fasthttp.Request) (flow.Result, bool) {
 	silent := func(err error) (flow.Result, bool) {
 		return flow.Result{Ending: flow.Unsent, Err: fmt.Errorf("%w: %w", errNoContinue, err)}, false
 	}
-	if err := c.SetDeadline(time.Now().Add(expectWait)); err != nil {
+	if err := c.SetDeadline(time.Now().Add(continueTimeout)); err != nil {
 		return silent(err)
 	}
 	if _, err := req.Header.WriteTo(c.w); err != nil {
@@ -117,15 +117,15 @@
 	}
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
-	if err := resp.ReadLimitBody(c.r, mostBody); err != nil {
+	if err := resp.ReadLimitBody(c.r, maxBodyBytes); err != nil {
 		return lost(err)
 	}
-	return read(resp)
+	return parseResponse(resp)
 }
 
-// read takes the endpoint's answer; keep reports whether the connection may be
-// used again.
-func read(resp *fasthttp.Response) (r flow.Result, keep bool) {
+// parseResponse converts the endpoint's response to a result; keep reports whether the
+// connection may be reused.
+func parseResponse(resp *fasthttp.Response) (r flow.Result, keep bool) {
 	keep = !resp.ConnectionClose()
 	r.Leaving = string(resp.Header.Peek(LeavingHeader)) == "yes"
 	code := resp.StatusCode()
@@ -146,10 +146,10 @@
 // Dial opens connections to endpoints.
 type Dial func(ctx context.Context, to netip.AddrPort) (net.Conn, error)
 
-// TCP dials with keep-alive probes that notice a path that carries nothing any
-// more within a few seconds, long before the deadline of a task would.
+// TCP dials with keep-alive probes, which detect a dead path within a few seconds,
+// long before a task's deadline.
 func TCP(ctx context.Context, to netip.AddrPort) (net.Conn, error) {
-	d := net.Dialer{Timeout: dialWait, KeepAliveConfig: net.KeepAliveConfig{
+	d := net.Dialer{Timeout: dialTimeout, KeepAliveConfig: net.KeepAliveConfig{
 		Enable: true, Idle: time.Second, Interval: time.Second, Count: 3,
 	}}
 	c, err := d.DialContext(ctx, "tcp", to.String())
--- a/internal/edge/wire/pool.go
+++ b/internal/edge/wire/pool.go
@@ -14,29 +14,29 @@
 )
 
 const (
-	dialWait = time.Second
-	// expectWait is how long a connection may keep silent when asked.
-	expectWait = 250 * time.Millisecond
-	// trustFor is how long after an answer a connection is used without asking.
-	trustFor = 20 * time.Millisecond
-	// idleFor is how long a connection is kept without use.
-	idleFor = 10 * time.Second
-	// mostIdle bounds the idle connections to one endpoint; with the slots in use
-	// it keeps all VMs of a failure domain together under 60 an endpoint.
-	mostIdle = 8
-	mostBody = 16 << 20
+	dialTimeout = time.Second
+	// continueTimeout is how long an endpoint may take to answer 100 Continue.
+	continueTimeout = 250 * time.Millisecond
+	// trustPeriod is how long after an answer a connection is used without a probe.
+	trustPeriod = 20 * time.Millisecond
+	// idleTimeout is how long an unused connection is kept.
+	idleTimeout = 10 * time.Second
+	// maxIdle limits the idle connections to one endpoint. Together with the slots in use
+	// it keeps the VMs of a failure domain below 60 connections to an endpoint in total.
+	maxIdle      = 8
+	maxBodyBytes = 16 << 20
 )
 
-// Pool holds the connections of one VM to its endpoints.
+// Pool holds a VM's connections to its endpoints.
 type Pool struct {
 	dial   Dial
 	mu     sync.Mutex
-	idle   map[netip.AddrPort][]*conn // latest answer last
+	idle   map[netip.AddrPort][]*conn // ordered by last answer, latest at the end
 	busy   map[*conn]bool
 	closed bool
 }
 
-// NewPool returns a pool.
+// NewPool returns an empty pool that connects with dial.
 func NewPool(dial Dial) *Pool {
 	return &Pool{dial: dial, idle: map[netip.AddrPort][]*conn{}, busy: map[*conn]bool{}}
 }
@@ -52,24 +52,24 @@
 		now := time.Now()
 		switch {
 		case keep:
-			c.last = now
+			c.lastAnswer = now
 			p.put(at, c)
 		default:
 			p.drop(c)
 		}
 		switch {
 		case r.Ending == flow.Unsent && errors.Is(r.Err, errNoContinue):
-			p.suspect(at, c.last) // nothing was sent: try the next connection
+			p.closeStale(at, c.lastAnswer) // no task was sent: try the next connection
 			continue
 		case r.Ending == flow.Lost:
-			p.suspect(at, c.last)
+			p.closeStale(at, c.lastAnswer)
 		}
 		return r
 	}
 }
 
-// get returns the idle connection that answered last, or a new one; fresh means
-// that it needs no question first.
+// get returns the idle connection that answered last, or a new one; fresh means that
+// it needs no probe.
 func (p *Pool) get(ctx context.Context, at netip.AddrPort) (c *conn, fresh bool, err error) {
 	now := time.Now()
 	p.mu.Lock()
@@ -80,12 +80,12 @@
 		p.busy[c] = true
 	}
 	p.mu.Unlock()
-	if c != nil && now.Sub(c.last) < idleFor {
-		return c, now.Sub(c.last) < trustFor, nil
+	if c != nil && now.Sub(c.lastAnswer) < idleTimeout {
+		return c, now.Sub(c.lastAnswer) < trustPeriod, nil
 	}
 	if c != nil {
 		p.drop(c)
-		p.suspect(at, c.last) // the others are older still
+		p.closeStale(at, c.lastAnswer) // the other idle connections are older
 	}
 	raw, err := p.dial(ctx, at)
 	if err != nil {
@@ -107,7 +107,7 @@
 	defer p.mu.Unlock()
 	delete(p.busy, c)
 	list := p.idle[at]
-	if p.closed || len(list) >= mostIdle {
+	if p.closed || len(list) >= maxIdle {
 		_ = c.Close()
 		return
 	}
@@ -121,15 +121,15 @@
 	delete(p.busy, c)
 }
 
-// suspect closes the idle connections that have not answered since a silent one
-// did: what silenced it has very likely silenced them.
-func (p *Pool) suspect(at netip.AddrPort, since time.Time) {
+// closeStale closes the idle connections that last answered no later than a silent
+// one: the same cause has very likely made them silent too.
+func (p *Pool) closeStale(at netip.AddrPort, since time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[at]
 	kept := list[:0]
 	for _, c := range list {
-		if c.last.After(since) {
+		if c.lastAnswer.After(since) {
 			kept = append(kept, c)
 		} else {
 			_ = c.Close()
@@ -138,22 +138,22 @@
 	p.idle[at] = kept
 }
 
-// Ask implements flow.Runner on a connection of its own: one that works says
-// nothing of the others.
+// Ask implements flow.Runner. It opens a new connection, because an answer on one
+// connection proves nothing about the others.
 func (p *Pool) Ask(ctx context.Context, at netip.AddrPort) (leaving bool, err error) {
 	raw, err := p.dial(ctx, at)
 	if err != nil {
 		return false, err
 	}
 	c := newConn(raw, time.Now())
-	defer c.Close() //nolint:errcheck // it was only asked
-	if err := c.SetDeadline(time.Now().Add(dialWait)); err != nil {
+	defer c.Close() //nolint:errcheck // used for one health request only
+	if err := c.SetDeadline(time.Now().Add(dialTimeout)); err != nil {
 		return false, fmt.Errorf("ask endpoint: %w", err)
 	}
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	req.Header.SetRequestURI(askPath)
+	req.Header.SetRequestURI(healthPath)
 	req.Header.SetHost(at.String())
 	if err := req.Write(c.w); err != nil {
 		return false, fmt.Errorf("ask endpoint: %w", err)
@@ -170,7 +170,7 @@
 	return string(resp.Header.Peek(LeavingHeader)) == "yes", nil
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -186,7 +186,8 @@
 	p.idle = map[netip.AddrPort][]*conn{}
 }
 
-// Open counts the connections to one endpoint that are idle, and all in use.
+// Open returns the number of idle connections to one endpoint, and of all connections
+// in use.
 func (p *Pool) Open(at netip.AddrPort) (idle, busy int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/edge/wire/pool_test.go
+++ b/internal/edge/wire/pool_test.go
@@ -22,8 +22,8 @@
 	"dahliawinch/internal/task/place"
 )
 
-// TestMain serves one request outside of any bubble, because the library starts a
-// goroutine for its date header that would keep a bubble from ending.
+// TestMain serves one request outside of any synctest bubble: the first request makes
+// fasthttp start a goroutine for its date header, which would keep a bubble from ending.
 func TestMain(m *testing.M) {
 	l := fasthttputil.NewInmemoryListener()
 	s := &fasthttp.Server{Handler: func(*fasthttp.RequestCtx) {}}
@@ -33,57 +33,57 @@
 	os.Exit(m.Run())
 }
 
-// starts counts what endpoints saw.
-type starts struct {
+// startCounter counts the starts of each job on the endpoints.
+type startCounter struct {
 	mu sync.Mutex
 	n  map[string]int
 }
 
-func (s *starts) Started(job string, _ int) {
+func (s *startCounter) Started(job string, _ int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.n[job]++
 }
 
-// host is an endpoint behind an in-memory listener whose connections can be made
-// silent: both ends stay open, and nothing arrives any more.
-type host struct {
+// testEndpoint is an endpoint behind an in-memory listener. Its connections can be
+// muted: both ends stay open, but no data arrives.
+type testEndpoint struct {
 	e     *fakes.Endpoint
 	l     *fasthttputil.InmemoryListener
 	mu    sync.Mutex
-	conns []*mute
+	conns []*mutedConn
 	dials int
 }
 
-// mute is a connection that something between the two ends may lose track of.
-type mute struct {
+// mutedConn is a connection whose path can be cut without closing it.
+type mutedConn struct {
 	net.Conn
-	lost atomic.Bool
+	muted atomic.Bool
 }
 
-func (m *mute) Write(b []byte) (int, error) {
-	if m.lost.Load() {
+func (m *mutedConn) Write(b []byte) (int, error) {
+	if m.muted.Load() {
 		return len(b), nil
 	}
 	return m.Conn.Write(b)
 }
 
-// Read drops what arrives once the path is lost, until the deadline.
-func (m *mute) Read(b []byte) (int, error) {
+// Read discards data of a muted connection until the deadline.
+func (m *mutedConn) Read(b []byte) (int, error) {
 	for {
 		n, err := m.Conn.Read(b)
-		if err != nil || !m.lost.Load() {
+		if err != nil || !m.muted.Load() {
 			return n, err
 		}
 	}
 }
 
-func (h *host) dial(context.Context, netip.AddrPort) (net.Conn, error) {
+func (h *testEndpoint) dial(context.Context, netip.AddrPort) (net.Conn, error) {
 	c, err := h.l.Dial()
 	if err != nil {
 		return nil, err
 	}
-	m := &mute{Conn: c}
+	m := &mutedConn{Conn: c}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.conns = append(h.conns, m)
@@ -91,19 +91,19 @@
 	return m, nil
 }
 
-// silence loses track of every open connection; new ones work.
-func (h *host) silence() {
+// muteAll mutes every open connection; new ones work.
+func (h *testEndpoint) muteAll() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, c := range h.conns {
-		c.lost.Store(true)
+		c.muted.Store(true)
 	}
 	h.conns = nil
 }
 
-func newHost(t *testing.T, w fakes.Witness) *host {
+func newTestEndpoint(t *testing.T, w fakes.Witness) *testEndpoint {
 	t.Helper()
-	h := &host{l: fasthttputil.NewInmemoryListener()}
+	h := &testEndpoint{l: fasthttputil.NewInmemoryListener()}
 	h.e = fakes.NewEndpoint(place.Info{Addr: netip.MustParseAddrPort("127.0.0.1:80"), Slots: 8}, w)
 	done := make(chan struct{})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -116,7 +116,7 @@
 	t.Cleanup(func() {
 		cancel()
 		<-done
-		time.Sleep(time.Minute) // the server library's workers end in their own time
+		time.Sleep(time.Minute) // fasthttp's workers end after an idle time
 	})
 	return h
 }
@@ -133,14 +133,14 @@
 	}
 }
 
-// Symptom: jobs end as silent on endpoints that answer others. Sequence: open
-// connections, in use and idle, lose their path for good while new ones work.
-// Cause: the next tasks go out over idle connections nobody has asked.
-func TestSilentConnectionsLoseOnlyWhatIsInFlight(t *testing.T) {
+// All open connections, in use and idle, go silent for good while new ones work. Only
+// the tasks in flight may be lost: idle connections must be probed before use, or jobs
+// end as silent on endpoints that answer others.
+func TestSilentConnectionsLoseOnlyInFlightTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := &starts{n: map[string]int{}}
-		h := newHost(t, w)
+		w := &startCounter{n: map[string]int{}}
+		h := newTestEndpoint(t, w)
 		p := NewPool(h.dial)
 		defer p.Close()
 		at := h.e.Addr
@@ -162,9 +162,9 @@
 		inFlight := make(chan [5]int)
 		go func() { inFlight <- run(3, "inflight", 500*time.Millisecond) }()
 		time.Sleep(100 * time.Millisecond)
-		h.silence()
+		h.muteAll()
 		after := run(4, "after", 50*time.Millisecond)
-		is.Equal(after[flow.Ran], 4) // none lost: idle connections are asked first
+		is.Equal(after[flow.Ran], 4) // none lost: idle connections are probed first
 		is.Equal((<-inFlight)[flow.Lost], 3)
 		for name, n := range w.n {
 			if n != 1 {
@@ -174,10 +174,10 @@
 	})
 }
 
-func TestBusyConnectionIsUsedWithoutAsking(t *testing.T) {
+func TestRecentConnectionIsNotProbed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		h := newHost(t, &starts{n: map[string]int{}})
+		h := newTestEndpoint(t, &startCounter{n: map[string]int{}})
 		p := NewPool(h.dial)
 		defer p.Close()
 		for range 10 {
@@ -191,30 +191,29 @@
 	})
 }
 
-// Symptom: a task that never started is taken as started, or the other way round.
-// Sequence: the endpoint refuses, fails, leaves or is not there. Cause: the endings
-// are not told apart.
-func TestEndings(t *testing.T) {
+// An endpoint that refuses, fails, leaves or does not listen must give different
+// endings, or a task that never started is treated as started, or the reverse.
+func TestEndingsAreDistinguished(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := &starts{n: map[string]int{}}
-		h := newHost(t, w)
+		w := &startCounter{n: map[string]int{}}
+		h := newTestEndpoint(t, w)
 		p := NewPool(h.dial)
 		defer p.Close()
-		one := func(x flow.Exchange) flow.Result { return p.Run(t.Context(), h.e.Addr, x) }
+		runOne := func(x flow.Exchange) flow.Result { return p.Run(t.Context(), h.e.Addr, x) }
 		x := exchange("bad", time.Millisecond, nil)
 		x.Body = []byte(`{"job":"bad","run":"1ms","fail":true}`)
-		is.Equal(one(x).Ending, flow.RanBadly)
+		is.Equal(runOne(x).Ending, flow.RanBadly)
 		x = exchange("unwanted", time.Millisecond, nil)
 		x.Begin = func() bool { return false }
-		is.Equal(one(x).Ending, flow.Unsent)
+		is.Equal(runOne(x).Ending, flow.Unsent)
 		x = exchange("late", time.Second, nil)
 		x.Until = time.Now().Add(100 * time.Millisecond)
-		is.Equal(one(x).Ending, flow.Lost)
+		is.Equal(runOne(x).Ending, flow.Lost)
 		time.Sleep(time.Second)
 		h.e.Leave()
 		var began atomic.Int64
-		r := one(exchange("leaving", time.Millisecond, &began))
+		r := runOne(exchange("leaving", time.Millisecond, &began))
 		is.Equal(r.Ending, flow.Refused)
 		is.True(r.Leaving)
 		is.Equal(w.n["unwanted"]+w.n["leaving"], 0)
@@ -222,8 +221,8 @@
 		is.NoErr(err)
 		is.True(leaving)
 		is.NoErr(h.l.Close())
-		time.Sleep(idleFor)
-		r = one(exchange("gone", time.Millisecond, nil))
+		time.Sleep(idleTimeout)
+		r = runOne(exchange("gone", time.Millisecond, nil))
 		is.Equal(r.Ending, flow.Unsent)
 		is.True(r.Err != nil && strings.Contains(r.Err.Error(), "connect"))
 	})
