--- a/winch/client.go
+++ b/winch/client.go
@@ -1,5 +1,5 @@
-// Package winch is the public surface of dahliawinch: a client for callers, and
-// the coordination parts that other programs embed.
+// Package winch is the public API of dahliawinch: a client for callers, and
+// coordination components that other programs can embed.
 package winch
 
 import (
@@ -14,18 +14,18 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Outcome is what became of a job.
+// Outcome is the final state of a job.
 type Outcome string
 
 // The outcomes.
 const (
-	Done    Outcome = "done"    // every task ran, and Results has them all
-	Refused Outcome = "refused" // nothing started, and that is certain
-	Failed  Outcome = "failed"  // some task started; there are no results
-	Unknown Outcome = "unknown" // a start can't be excluded
+	Done    Outcome = "done"    // every task ran; Results has a result for each
+	Refused Outcome = "refused" // certainly no task was started
+	Failed  Outcome = "failed"  // at least one task started; there are no results
+	Unknown Outcome = "unknown" // tasks may have started
 )
 
-// Need is what a task needs of an endpoint.
+// Need is the capacity that a task needs on an endpoint.
 type Need struct {
 	Cores  float64 `json:"cores,omitempty"`
 	Memory float64 `json:"memory,omitempty"` // GiB
@@ -35,26 +35,26 @@
 // Task is one task of a job.
 type Task struct {
 	Body any           // any value that encodes to JSON
-	Run  time.Duration // how long it is thought to run; 0 if unknown
+	Run  time.Duration // estimated run time; 0 if unknown
 	Need Need
 }
 
-// Job is a submission: its tasks are answered together or not at all.
+// Job is a submission; its tasks are answered together or not at all.
 type Job struct {
 	Class    string
-	Kind     string        // groups tasks of like run time
-	Deadline time.Duration // 0 for the class's
-	Ticket   string        // needed for non-idempotent classes; any answer uses it up, a refusal too
-	Grant    int           // tickets wanted along with the answer
+	Kind     string        // groups tasks with similar run times
+	Deadline time.Duration // 0 means the deadline of the class
+	Ticket   string        // required for non-idempotent classes; any answer uses it up, even a refusal
+	Grant    int           // number of tickets to return with the answer
 	Tasks    []Task
 }
 
-// Answer is the whole answer to a job.
+// Answer is the complete answer to a job.
 type Answer struct {
 	Outcome Outcome
 	Reason  string
 	Detail  string
-	Retry   time.Duration // when to come back; 0 if it makes no sense
+	Retry   time.Duration // when to retry; 0 if a retry makes no sense
 	Results []json.RawMessage
 	Tickets []string
 }
@@ -62,11 +62,11 @@
 // ErrAnswer is returned for an answer that can't be read; the job's outcome is unknown.
 var ErrAnswer = errors.New("unreadable answer")
 
-// answerGrace is how much longer than the deadline the client waits.
+// answerGrace is how long the client waits beyond a job's deadline.
 const answerGrace = 2 * time.Second
 
-// defaultWait is how long the client waits for a job without a deadline of its own.
-const defaultWait = 3 * time.Minute
+// defaultTimeout is how long the client waits for a job without its own deadline.
+const defaultTimeout = 3 * time.Minute
 
 // Client submits jobs to the entry VMs behind one address. It is safe for use by
 // several goroutines.
@@ -76,13 +76,13 @@
 	http *fasthttp.Client
 }
 
-// NewClient returns a client of the balancer, or of one entry VM, at an address.
+// NewClient returns a client for the address of the balancer or of one entry VM.
 func NewClient(at netip.AddrPort, key string) *Client {
 	return &Client{
 		url: "http://" + at.String(), key: key,
 		http: &fasthttp.Client{
 			MaxConnsPerHost: 1 << 16, MaxIdleConnDuration: 5 * time.Second, MaxResponseBodySize: 64 << 20,
-			// A request that may have been received is never sent again by itself.
+			// Never resend automatically a request that may have been received.
 			MaxIdemponentCallAttempts: 1, RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 		},
 	}
@@ -113,9 +113,9 @@
 	Tickets int               `json:"tickets"`
 }
 
-// Submit sends a job and waits for its answer. An error means that the job was
-// not sent (it could not be encoded); whatever happens after the send is told by
-// the answer's outcome, Unknown when no answer came.
+// Submit sends a job and waits for its answer. An error means that the job could not
+// be encoded and was not sent; whatever happens after that is in the answer's outcome,
+// which is Unknown if no answer came.
 func (c *Client) Submit(ctx context.Context, j Job) (Answer, error) {
 	out := wireJob{Class: j.Class, Kind: j.Kind, Ticket: j.Ticket, Grant: j.Grant}
 	if j.Deadline != 0 {
@@ -136,13 +136,13 @@
 	if err != nil {
 		return Answer{}, fmt.Errorf("encode job: %w", err)
 	}
-	wait := defaultWait
+	timeout := defaultTimeout
 	if j.Deadline > 0 {
-		wait = j.Deadline + answerGrace
+		timeout = j.Deadline + answerGrace
 	}
-	a := c.do(ctx, fasthttp.MethodPost, "/jobs", text, wait)
+	a := c.do(ctx, fasthttp.MethodPost, "/jobs", text, timeout)
 	if j.Ticket != "" {
-		a = doubt(a)
+		a = unknownIfUnsent(a)
 	}
 	if a.Outcome == Done && len(a.Results) != len(j.Tasks) {
 		return Answer{Outcome: Unknown, Detail: ErrAnswer.Error()}, nil
@@ -150,30 +150,30 @@
 	return a, nil
 }
 
-// Ask says what became of the job sent under a ticket. A ticket that was not used
-// yet is used up by asking, so that "refused" stays true.
+// Ask returns the answer to the job sent with a ticket. It uses up a ticket that was
+// not used yet, so that the answer "refused" stays true.
 func (c *Client) Ask(ctx context.Context, ticket string) Answer {
-	return doubt(c.do(ctx, fasthttp.MethodGet, "/tickets/"+ticket, nil, 10*time.Second))
+	return unknownIfUnsent(c.do(ctx, fasthttp.MethodGet, "/tickets/"+ticket, nil, 10*time.Second))
 }
 
-// Cancel stops the job sent under a ticket and says what became of it.
+// Cancel stops the job sent with a ticket and returns its answer.
 func (c *Client) Cancel(ctx context.Context, ticket string) Answer {
-	return doubt(c.do(ctx, fasthttp.MethodDelete, "/tickets/"+ticket, nil, 10*time.Second))
+	return unknownIfUnsent(c.do(ctx, fasthttp.MethodDelete, "/tickets/"+ticket, nil, 10*time.Second))
 }
 
-// doubt words a failed connection for what is under a ticket: nothing was sent now, but
-// a copy sent before may have run, so "refused" could be a lie.
-func doubt(a Answer) Answer {
+// unknownIfUnsent changes the outcome of a failed connection to Unknown for a request with
+// a ticket: nothing was sent now, but a copy sent before may have run.
+func unknownIfUnsent(a Answer) Answer {
 	if a.Outcome == Refused && a.Reason == reasonConnect {
 		a.Outcome = Unknown
 	}
 	return a
 }
 
-// reasonConnect says that no connection could be opened, so nothing was sent.
+// reasonConnect means that no connection could be opened, so nothing was sent.
 const reasonConnect = "connect"
 
-// Tickets takes n tickets.
+// Tickets requests n tickets.
 func (c *Client) Tickets(ctx context.Context, n int) ([]string, error) {
 	a := c.do(ctx, fasthttp.MethodPost, "/tickets", fmt.Appendf(nil, `{"count":%d}`, n), 10*time.Second)
 	if len(a.Tickets) == 0 {
@@ -182,10 +182,10 @@
 	return a.Tickets, nil
 }
 
-// ErrTicket is returned when no tickets were handed out.
+// ErrTicket is returned when no tickets were issued.
 var ErrTicket = errors.New("no tickets")
 
-func (c *Client) do(ctx context.Context, method, path string, body []byte, wait time.Duration) Answer {
+func (c *Client) do(ctx context.Context, method, path string, body []byte, timeout time.Duration) Answer {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	req.Header.SetMethod(method)
 	req.SetRequestURI(c.url + path)
@@ -193,14 +193,14 @@
 	req.Header.SetContentType("application/json")
 	req.SetBody(body)
 	if at, ok := ctx.Deadline(); ok {
-		wait = min(wait, time.Until(at))
+		timeout = min(timeout, time.Until(at))
 	}
-	req.SetTimeout(wait)
+	req.SetTimeout(timeout)
 	err := c.http.Do(req, resp)
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	var dial *fasthttp.ErrDialWithUpstream
-	if errors.As(err, &dial) {
+	var dialErr *fasthttp.ErrDialWithUpstream
+	if errors.As(err, &dialErr) {
 		return Answer{Outcome: Refused, Reason: reasonConnect, Detail: err.Error(), Retry: 100 * time.Millisecond}
 	}
 	if err != nil {
--- a/winch/client_test.go
+++ b/winch/client_test.go
@@ -9,20 +9,20 @@
 	"dahliawinch/winch"
 )
 
-// Symptom: a caller is told "not run" of a top-up that was charged. Sequence: its first
-// answer is lost, it asks after the ticket or sends the job again, and the VM can't be
-// reached. Cause: a connection that fails proves only that nothing was sent this time.
-func TestNoConnectionIsNoRefusalUnderATicket(t *testing.T) {
+// A caller loses the answer to a job with a ticket and asks again while the VM can't be
+// reached. The answer must be "unknown": a failed connection proves only that nothing
+// was sent this time, and the first copy may have run.
+func TestFailedDialWithTicketIsUnknown(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	at := l.Addr().(*net.TCPAddr).AddrPort()
-	is.NoErr(l.Close()) // nobody listens there now
+	is.NoErr(l.Close()) // nothing listens there now
 	c := winch.NewClient(at, "key")
 	job := winch.Job{Class: "topup", Tasks: []winch.Task{{Body: 1}}}
 	a, err := c.Submit(t.Context(), job)
 	is.NoErr(err)
-	is.Equal(a.Outcome, winch.Refused) // without a ticket this is its only copy
+	is.Equal(a.Outcome, winch.Refused) // without a ticket there is no earlier copy
 	job.Ticket = "T.0"
 	a, err = c.Submit(t.Context(), job)
 	is.NoErr(err)
--- a/winch/example_test.go
+++ b/winch/example_test.go
@@ -17,7 +17,7 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// A caller submits a job and reads an honest answer.
+// A caller submits a job and reads its answer.
 func ExampleClient_Submit() {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
@@ -36,7 +36,7 @@
 	// refused ticket
 }
 
-// Non-idempotent work goes under a ticket: sent again, it does not run again.
+// A non-idempotent job needs a ticket: submitted again, it does not run again.
 func ExampleClient_Tickets() {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
@@ -55,7 +55,7 @@
 	// Output: done done true
 }
 
-// deployment starts a small one on loopback.
+// deployment starts a small deployment on loopback.
 func deployment(ctx context.Context) (at netip.AddrPort, stop func()) {
 	shape := local.Brief()
 	shape.Domains, shape.VMs, shape.Endpoints = 1, 1, 2
@@ -69,7 +69,7 @@
 	return d.VMs[0].Settings.Caller, func() { _ = d.Stop() }
 }
 
-// An attempt that was sent may be tried again only on the endpoint's own word.
+// An attempt that was sent may be retried only if the endpoint says that it did not start.
 func ExampleAttempt() {
 	var lost, declined winch.Attempt
 	_ = lost.On(winch.Sent)
@@ -119,7 +119,7 @@
 	// true
 }
 
-// The first declaration on a base wins, whatever order operators believe in.
+// The first declaration in the log for a base revision wins.
 func ExampleNewFold() {
 	f := winch.NewFold(func(json.RawMessage) error { return nil })
 	f.Open(0)
@@ -145,7 +145,7 @@
 	fmt.Println(v.Members()[0].State)
 	v.Tick(start.Add(700 * time.Millisecond))
 	fmt.Println(v.Members()[0].State)
-	v.Tick(start.Add(3 * time.Second)) // nobody else to ask
+	v.Tick(start.Add(3 * time.Second)) // no other peer can be asked
 	fmt.Println(v.Members()[0].State)
 	// Output:
 	// alive
--- a/winch/parts.go
+++ b/winch/parts.go
@@ -16,33 +16,32 @@
 	"dahliawinch/internal/task/tries"
 )
 
-// The coordination parts for embedding. Each takes the time as an argument and does
-// no I/O; aliases rather than copies, so that what the daemons run is what others
-// embed.
+// Components for embedding. Each takes the time as an argument and does no I/O. They
+// are aliases, so that other programs embed the same code that the daemons run.
 type (
-	// Budget bounds retries to a part of first tries.
+	// Budget limits retries to a fraction of first attempts.
 	Budget = budget.Budget
-	// Attempt follows one attempt and says whether it may be tried again.
+	// Attempt tracks one attempt and whether it may be retried.
 	Attempt = tries.Attempt
 	// TicketBook issues one-time idempotency keys and remembers which were used.
 	TicketBook = ticket.Book
-	// TicketLimits bound a TicketBook.
+	// TicketLimits are the limits of a TicketBook.
 	TicketLimits = ticket.Limits
-	// Ticket is one ticket as a caller presents it.
+	// Ticket is a decoded ticket of a caller.
 	Ticket = ticket.Ticket
-	// TicketVerdict says what may be done with a ticket.
+	// TicketVerdict is the result of claiming a ticket.
 	TicketVerdict = ticket.Verdict
-	// StoredAnswer is what a TicketBook keeps for a ticket.
+	// StoredAnswer is the answer that a TicketBook keeps for a ticket.
 	StoredAnswer = job.Answer
-	// Fold turns log records into the revision in force.
+	// Fold computes the revision in force from log records.
 	Fold = fold.Fold
 	// Record is one record of a Fold's log.
 	Record = fold.Record
 	// Revision is one accepted document.
 	Revision = fold.Revision
-	// View is what one process believes of its peers.
+	// View is one process's view of its peers' states.
 	View = view.View
-	// Hello names one incarnation of a peer.
+	// Hello identifies one incarnation of a peer.
 	Hello = frame.Hello
 	// Beat is a peer's heartbeat.
 	Beat = frame.Beat
@@ -58,7 +57,7 @@
 	Lost     = tries.Lose
 )
 
-// Verdicts on a ticket that matter to most callers.
+// Ticket verdicts that most programs need.
 const (
 	FreshTicket   = ticket.Fresh
 	RunningTicket = ticket.Running
@@ -71,22 +70,22 @@
 	RefreshRecord = fold.Refresh
 )
 
-// NewBudget returns a full retry budget: ratio of first tries, floor a second, top at
-// once.
-func NewBudget(now time.Time, ratio, floor, top float64) *Budget {
-	return budget.New(now, ratio, floor, top)
+// NewBudget returns a full retry budget that gains ratio for each first attempt and
+// perSecond each second, up to burst.
+func NewBudget(now time.Time, ratio, perSecond, burst float64) *Budget {
+	return budget.New(now, ratio, perSecond, burst)
 }
 
-// NewTicketBook returns the book of one incarnation of a process; secret must be
-// random for each.
+// NewTicketBook returns the ticket book of one incarnation of a process; secret must be
+// random for each incarnation.
 func NewTicketBook(self netip.AddrPort, incarnation uint64, secret []byte, limits TicketLimits) *TicketBook {
 	return ticket.NewBook(self, incarnation, secret, limits)
 }
 
-// ParseTicket decodes ticket n of a grant's text.
+// ParseTicket decodes ticket n of a grant.
 func ParseTicket(grant string, n int) (Ticket, error) { return ticket.Parse(ticket.Pick(grant, n)) }
 
-// NewFold returns a fold that knows nothing; valid judges documents.
+// NewFold returns an empty fold; valid checks documents.
 func NewFold(valid func(json.RawMessage) error) *Fold { return fold.New(valid) }
 
 // NewView returns a view of the peers of one process.
@@ -99,7 +98,7 @@
 	return queue.New[T](epoch, order)
 }
 
-// Home returns which of the VMs keeps an endpoint's slots.
+// Home returns the VM that manages an endpoint's slots.
 func Home(endpoint netip.AddrPort, vms []netip.AddrPort) netip.AddrPort {
 	return place.Home(endpoint, vms)
 }
