--- a/dahliawinchd/main.go
+++ b/dahliawinchd/main.go
@@ -1,6 +1,6 @@
-// Command dahliawinchd is the daemon of one entry VM on leased endpoints, as "dahliawinch serve"
-// is, and nothing else: on 0.12 of a core it serves sooner after a loss of power, since the
-// libraries of the other commands take longer to start than all of it.
+// Command dahliawinchd runs the daemon of one entry VM on leased endpoints, like "dahliawinch
+// serve". It leaves out the other commands, whose libraries take longer to initialize than the
+// daemon itself: on 0.12 of a core it serves sooner after a loss of power.
 package main
 
 import (
@@ -20,6 +20,6 @@
 	}
 	if err := root.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "dahliawinchd:", err)
-		os.Exit(daemon.Code(err))
+		os.Exit(daemon.ExitCode(err))
 	}
 }
--- a/internal/cli/cmds/cmd_check.go
+++ b/internal/cli/cmds/cmd_check.go
@@ -36,19 +36,20 @@
 	},
 }
 
-// checkFile tells settings from a document by a field that only settings have.
+// checkFile checks a settings file or a document. Only settings have the field mesh or
+// domain.
 func checkFile(path string, text []byte) (kind string, problems []valid.Problem) {
 	var probe map[string]json.RawMessage
 	if json.Unmarshal(text, &probe) == nil && (probe["mesh"] != nil || probe["domain"] != nil) {
 		set := setup.Default()
-		return "settings", append(invalid(set.Read(path)), set.Check()...)
+		return "settings", append(problemsOf(set.Read(path)), set.Check()...)
 	}
 	_, err := doc.Parse(text)
-	return "document", invalid(err)
+	return "document", problemsOf(err)
 }
 
-// invalid returns the problems that an error carries.
-func invalid(err error) []valid.Problem {
+// problemsOf returns the problems in an error.
+func problemsOf(err error) []valid.Problem {
 	var in *valid.Error
 	switch {
 	case err == nil:
--- a/internal/cli/cmds/cmd_declare.go
+++ b/internal/cli/cmds/cmd_declare.go
@@ -25,10 +25,10 @@
 	action: func(c *cobra.Command, args []string) error {
 		text, err := os.ReadFile(args[0])
 		if err != nil {
-			return &code{exitRefused, fmt.Errorf("declare: %w", err)}
+			return &exitError{exitRefused, fmt.Errorf("declare: %w", err)}
 		}
 		if _, err := doc.Parse(text); err != nil {
-			return &code{exitRefused, fmt.Errorf("declare: %w", err)}
+			return &exitError{exitRefused, fmt.Errorf("declare: %w", err)}
 		}
 		o, err := newOperator(c)
 		if err != nil {
@@ -36,7 +36,7 @@
 		}
 		base, _ := c.Flags().GetInt64("base")
 		if base < 0 {
-			cur, _ := o.current(c.Context()) // none yet: the first is declared on 0
+			cur, _ := o.current(c.Context()) // without a document the base is 0
 			base = int64(cur.Rev)
 		}
 		watch, _ := c.Flags().GetDuration("watch")
--- a/internal/cli/cmds/cmd_demo.go
+++ b/internal/cli/cmds/cmd_demo.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	demoSpan = 8 * time.Second
-	demoLoad = 0.5 // of all slots
+	demoDuration = 8 * time.Second
+	demoLoad     = 0.5 // fraction of all slots
 )
 
 var cmdDemo = command{
@@ -58,19 +58,19 @@
 	},
 }
 
-// demoReport is the table of a demonstration.
+// demoReport is the result of a demonstration.
 type demoReport struct {
 	load.Report
 	Wasted  float64            `json:"wasted"` // messages per task
-	Causes  map[string]float64 `json:"causes"` // the same by cause
+	Causes  map[string]float64 `json:"causes"` // messages per task by cause
 	Changed valid.Span         `json:"changed"`
 }
 
 func demo(ctx context.Context, status io.Writer, log *slog.Logger) (*demoReport, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Minute)
 	defer cancel()
-	seen := judge.New()
-	d, err := local.Start(ctx, local.Brief(), seen, log)
+	witness := judge.New()
+	d, err := local.Start(ctx, local.Brief(), witness, log)
 	if err != nil {
 		return nil, err
 	}
@@ -81,21 +81,21 @@
 	fmt.Fprintln(status, "document revision 1 is in force on all VMs")
 	m := withKeys(mix.Paper())
 	slots := float64(d.Shape.Endpoints * d.Slots)
-	plan := load.Plan{Mix: m, Rate: demoLoad * slots / m.Work().Seconds(), Span: demoSpan, Seed: 1}
+	plan := load.Plan{Mix: m, Rate: demoLoad * slots / m.Work().Seconds(), Span: demoDuration, Seed: 1}
 	for _, v := range d.VMs {
 		plan.Targets = append(plan.Targets, v.Settings.Caller)
 	}
-	l := load.New(plan, seen)
+	l := load.New(plan, witness)
 	out := &demoReport{Causes: map[string]float64{}}
 	faults := make(chan error, 1)
 	go func() { faults <- demoFaults(ctx, status, d, out) }()
-	done := progress(ctx, status, l)
+	done := printProgress(ctx, status, l)
 	l.Run(ctx)
 	done()
 	if err := <-faults; err != nil {
 		return nil, err
 	}
-	time.Sleep(500 * time.Millisecond) // whatever still starts counts against the answers given
+	time.Sleep(500 * time.Millisecond) // starts after the answers are still counted
 	if err := d.Stop(); err != nil {
 		return nil, err
 	}
@@ -105,18 +105,18 @@
 		out.Causes[c.String()] = n
 		out.Wasted += n
 	}
-	for _, w := range seen.Why() {
+	for _, w := range witness.Why() {
 		fmt.Fprintln(status, "broken:", w)
 	}
 	return out, nil
 }
 
-// demoFaults plays faults and a change of the document beside the load.
+// demoFaults injects faults and changes the document during the load.
 func demoFaults(ctx context.Context, status io.Writer, d *local.Deployment, out *demoReport) error {
-	pause(ctx, demoSpan/4)
+	sleep(ctx, demoDuration/4)
 	fmt.Fprintln(status, "an endpoint dies in the middle of its tasks")
 	d.Endpoints[3].Die()
-	pause(ctx, demoSpan/8)
+	sleep(ctx, demoDuration/8)
 	next := mix.Document()
 	relief := next.Tenants["relief"]
 	relief.Weight = 4
@@ -127,16 +127,16 @@
 	}
 	out.Changed = valid.Span(time.Since(began).Round(time.Millisecond))
 	fmt.Fprintf(status, "document revision 2 is in force on all VMs after %s\n", out.Changed.Std())
-	pause(ctx, demoSpan/8)
+	sleep(ctx, demoDuration/8)
 	fmt.Fprintln(status, "an entry VM leaves gracefully")
 	d.VMs[5].Leave()
-	pause(ctx, demoSpan/8)
+	sleep(ctx, demoDuration/8)
 	fmt.Fprintln(status, "an entry VM is killed")
 	d.VMs[2].Kill()
 	return nil
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
 	case <-ctx.Done():
--- a/internal/cli/cmds/cmd_entry.go
+++ b/internal/cli/cmds/cmd_entry.go
@@ -38,7 +38,7 @@
 	},
 }
 
-// settingNames are the settings that are flags too, with their help.
+// settingNames lists the settings that are also flags, with their help texts.
 var settingNames = []struct{ name, help string }{
 	{"domain", "failure domain of this VM"},
 	{"stream", "the service's stream of the platform's log"},
@@ -62,7 +62,7 @@
 	}
 }
 
-// settings merges defaults, file and flags, and checks the result.
+// settings merges defaults, settings file and flags, and validates the result.
 func settings(c *cobra.Command, args []string) (setup.Settings, error) {
 	set := setup.Default()
 	if len(args) == 1 {
--- a/internal/cli/cmds/cmd_form.go
+++ b/internal/cli/cmds/cmd_form.go
@@ -25,13 +25,13 @@
 	action: func(c *cobra.Command, args []string) error {
 		f, err := forms.Find(args[0])
 		if err != nil {
-			return &code{exitRefused, fmt.Errorf("form: %w", err)}
+			return &exitError{exitRefused, fmt.Errorf("form: %w", err)}
 		}
 		values := forms.Values{}
 		for _, pair := range args[1:] {
 			k, v, ok := strings.Cut(pair, "=")
 			if !ok {
-				return &code{exitRefused, fmt.Errorf("form: %w %q: write it as key=value", forms.ErrField, pair)}
+				return &exitError{exitRefused, fmt.Errorf("form: %w %q: write it as key=value", forms.ErrField, pair)}
 			}
 			values[k] = v
 		}
@@ -41,24 +41,24 @@
 		}
 		cur, err := o.current(c.Context())
 		if err != nil {
-			return &code{exitRefused, fmt.Errorf("form: %w", err)}
+			return &exitError{exitRefused, fmt.Errorf("form: %w", err)}
 		}
-		return fill(c, o, f, values, cur.Rev, cur.Doc)
+		return applyForm(c, o, f, values, cur.Rev, cur.Doc)
 	},
 }
 
 // fill applies a form, shows the change and declares it.
-func fill(c *cobra.Command, o *operator, f forms.Form, v forms.Values, base uint64, text []byte) error {
+func applyForm(c *cobra.Command, o *operatorClient, f forms.Form, v forms.Values, base uint64, text []byte) error {
 	d, err := doc.Parse(text)
 	if err != nil {
-		return &code{exitRefused, fmt.Errorf("form: %w", err)}
+		return &exitError{exitRefused, fmt.Errorf("form: %w", err)}
 	}
 	next, err := f.Apply(d, v)
 	if err != nil {
-		return &code{exitRefused, fmt.Errorf("form: %w", err)}
+		return &exitError{exitRefused, fmt.Errorf("form: %w", err)}
 	}
 	if ps := next.Check(); len(ps) > 0 {
-		return &code{exitRefused, fmt.Errorf("form: %w", &valid.Error{Problems: ps})}
+		return &exitError{exitRefused, fmt.Errorf("form: %w", &valid.Error{Problems: ps})}
 	}
 	out, err := next.Encode()
 	if err != nil {
--- a/internal/cli/cmds/cmd_history.go
+++ b/internal/cli/cmds/cmd_history.go
@@ -18,7 +18,7 @@
 		if err != nil {
 			return err
 		}
-		var past []oper.Past
+		var past []oper.Revision
 		if _, err := o.call(c.Context(), http.MethodGet, "/history", nil, &past); err != nil {
 			return failed(fmt.Errorf("history: %w", err))
 		}
--- a/internal/cli/cmds/cmd_keys.go
+++ b/internal/cli/cmds/cmd_keys.go
@@ -53,13 +53,13 @@
 	for _, text := range ips {
 		ip, err := netip.ParseAddr(text)
 		if err != nil {
-			return fmt.Errorf("%q is no IP number: %w", text, err)
+			return fmt.Errorf("%q is not an IP address: %w", text, err)
 		}
-		home := filepath.Join(dir, ip.String())
-		if err := os.MkdirAll(home, 0o700); err != nil {
+		vmDir := filepath.Join(dir, ip.String())
+		if err := os.MkdirAll(vmDir, 0o700); err != nil {
 			return fmt.Errorf("make folder: %w", err)
 		}
-		f, err := a.Make(home, life, ip)
+		f, err := a.Make(vmDir, life, ip)
 		if err != nil {
 			return err
 		}
--- a/internal/cli/cmds/cmd_load.go
+++ b/internal/cli/cmds/cmd_load.go
@@ -39,19 +39,19 @@
 		f.Bool("json", false, "print one JSON object")
 	},
 	action: func(c *cobra.Command, args []string) error {
-		plan, err := plan(c, args)
+		plan, err := newPlan(c, args)
 		if err != nil {
 			return err
 		}
 		first, _, stop := daemon.Signals()
 		defer stop()
 		l := load.New(plan, judge.New())
-		done := progress(first, c.ErrOrStderr(), l)
+		done := printProgress(first, c.ErrOrStderr(), l)
 		l.Run(first)
 		done()
 		r := l.Report()
 		asJSON, _ := c.Flags().GetBool("json")
-		if err := report(c.OutOrStdout(), r, asJSON); err != nil {
+		if err := printReport(c.OutOrStdout(), r, asJSON); err != nil {
 			return failed(err)
 		}
 		if r.Partial+r.Crossed > 0 {
@@ -61,39 +61,39 @@
 	},
 }
 
-func plan(c *cobra.Command, args []string) (load.Plan, error) {
+func newPlan(c *cobra.Command, args []string) (load.Plan, error) {
 	f := c.Flags()
-	p := load.Plan{Mix: withKeys(mix.Paper())}
-	p.Rate, _ = f.GetFloat64("rate")
-	p.Span, _ = f.GetDuration("span")
-	p.Seed, _ = f.GetUint64("seed")
-	p.Burst, _ = f.GetFloat64("burst")
-	p.From, _ = f.GetDuration("from")
-	p.Till, _ = f.GetDuration("till")
+	plan := load.Plan{Mix: withKeys(mix.Paper())}
+	plan.Rate, _ = f.GetFloat64("rate")
+	plan.Span, _ = f.GetDuration("span")
+	plan.Seed, _ = f.GetUint64("seed")
+	plan.Burst, _ = f.GetFloat64("burst")
+	plan.From, _ = f.GetDuration("from")
+	plan.Till, _ = f.GetDuration("till")
 	for _, a := range args {
 		at, err := netip.ParseAddrPort(a)
 		if err != nil {
-			return p, fmt.Errorf("targets: %w", err)
+			return plan, fmt.Errorf("targets: %w", err)
 		}
 		if !at.Addr().IsLoopback() {
-			return p, fmt.Errorf("targets: %s: %w", a, errRemote)
+			return plan, fmt.Errorf("targets: %s: %w", a, errRemote)
 		}
-		p.Targets = append(p.Targets, at)
+		plan.Targets = append(plan.Targets, at)
 	}
-	if len(p.Targets) == 0 {
-		return p, errTargets
+	if len(plan.Targets) == 0 {
+		return plan, errTargets
 	}
 	if path, _ := f.GetString("mix"); path != "" {
 		m, err := mix.Load(path)
 		if err != nil {
-			return p, fmt.Errorf("mix: %w", err)
+			return plan, fmt.Errorf("mix: %w", err)
 		}
-		p.Mix = m
+		plan.Mix = m
 	}
-	return p, nil
+	return plan, nil
 }
 
-// withKeys gives the built-in mix the keys of the demonstration document.
+// withKeys sets the built-in mix's keys to those of the demonstration document.
 func withKeys(m mix.Mix) mix.Mix {
 	for i := range m.Kinds {
 		m.Kinds[i].Key = "demo-" + m.Kinds[i].Tenant
@@ -101,8 +101,8 @@
 	return m
 }
 
-// progress prints a status line each second until the returned function is called.
-func progress(ctx context.Context, w io.Writer, l *load.Load) (done func()) {
+// printProgress prints a status line each second until done is called.
+func printProgress(ctx context.Context, w io.Writer, l *load.Load) (done func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	ended := make(chan struct{})
 	go func() {
@@ -122,7 +122,7 @@
 	return func() { cancel(); <-ended }
 }
 
-func report(w io.Writer, r load.Report, asJSON bool) error {
+func printReport(w io.Writer, r load.Report, asJSON bool) error {
 	if asJSON {
 		if err := json.NewEncoder(w).Encode(r); err != nil {
 			return fmt.Errorf("print report: %w", err)
--- a/internal/cli/cmds/cmd_man.go
+++ b/internal/cli/cmds/cmd_man.go
@@ -11,7 +11,7 @@
 
 var errFormat = errors.New("format: use markdown or man")
 
-// The commands' pages in docs/man are written by this command and committed.
+// This command generates the manual pages in docs/man, which are committed.
 var cmdMan = command{
 	use: "man DIR [markdown|man]", short: "Write the commands' manual pages into a folder",
 	args: cobra.RangeArgs(1, 2),
--- a/internal/cli/cmds/cmd_serve.go
+++ b/internal/cli/cmds/cmd_serve.go
@@ -8,13 +8,13 @@
 	"dahliawinch/internal/cli/daemon"
 )
 
-// The program dahliawinchd is this command alone.
+// The program dahliawinchd has only this command.
 var cmdServe = command{
 	use: "serve [SETTINGS.json]", short: daemon.Short, long: daemon.Long,
 	args: cobra.MaximumNArgs(1),
 	action: func(c *cobra.Command, args []string) error {
 		if err := daemon.Run(args, c.OutOrStdout()); err != nil {
-			return &code{daemon.Code(err), fmt.Errorf("serve: %w", err)}
+			return &exitError{daemon.ExitCode(err), fmt.Errorf("serve: %w", err)}
 		}
 		return nil
 	},
--- a/internal/cli/cmds/cmd_version.go
+++ b/internal/cli/cmds/cmd_version.go
@@ -7,7 +7,7 @@
 	"github.com/spf13/cobra"
 )
 
-// Version of the program; CHANGELOG.md has what changed in each.
+// Version is the version of the program; CHANGELOG.md lists the changes.
 const Version = "0.1.0"
 
 var cmdVersion = command{
--- a/internal/cli/cmds/cmds_test.go
+++ b/internal/cli/cmds/cmds_test.go
@@ -13,7 +13,7 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-// golden compares with a file of testdata.
+// golden compares got with a golden file in testdata.
 func golden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name+".golden")
@@ -35,7 +35,7 @@
 	return code, buf.String()
 }
 
-func TestCommandsAndTheirWords(t *testing.T) {
+func TestCommandOutput(t *testing.T) {
 	cases := []struct {
 		name string
 		code int
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestKeysNeverPrintTheSameKeyTwice(t *testing.T) {
+func TestNewKeysDiffer(t *testing.T) {
 	is := is.New(t)
 	_, a := run("keys", "new")
 	_, b := run("keys", "new")
--- a/internal/cli/cmds/command.go
+++ b/internal/cli/cmds/command.go
@@ -1,4 +1,4 @@
-// Package cmds has the commands of the one binary, each in a file of its own.
+// Package cmds implements the commands of the dahliawinch binary, one file each.
 package cmds
 
 import (
@@ -13,7 +13,7 @@
 	"dahliawinch/internal/base/sample"
 )
 
-// command is one declared command.
+// command describes one command.
 type command struct {
 	use    string
 	short  string
@@ -23,22 +23,22 @@
 	action func(c *cobra.Command, args []string) error
 }
 
-// commands in the order of the help text.
+// commands lists all commands in the order of the help text.
 var commands = []command{
 	cmdDemo, cmdLocal, cmdEntry, cmdServe, cmdCheck, cmdLoad, cmdBench,
 	cmdDeclare, cmdForm, cmdDiff, cmdHistory, cmdWatch, cmdKeys, cmdMan, cmdVersion,
 }
 
-// code is an error that ends the process with an exit code of its own.
-type code struct {
-	n   int
-	err error
+// exitError is an error with the exit code for the process.
+type exitError struct {
+	code int
+	err  error
 }
 
-func (c *code) Error() string { return c.err.Error() }
-func (c *code) Unwrap() error { return c.err }
+func (c *exitError) Error() string { return c.err.Error() }
+func (c *exitError) Unwrap() error { return c.err }
 
-// The exit codes.
+// Exit codes of all commands; operator.go has more.
 const (
 	exitOK = iota
 	exitFailed
@@ -75,17 +75,17 @@
 		return exitOK
 	}
 	fmt.Fprintln(errs, "dahliawinch:", err)
-	var c *code
+	var c *exitError
 	if errors.As(err, &c) {
-		return c.n
+		return c.code
 	}
 	return exitUsage
 }
 
-// failed marks an error as the command's own failure rather than a wrong call.
-func failed(err error) error { return &code{exitFailed, err} }
+// failed marks an error as a failure of the command rather than a usage error.
+func failed(err error) error { return &exitError{exitFailed, err} }
 
-// logger writes one line of key=value pairs for each event, and counts floods.
+// logger returns a logger that writes key=value lines and limits repeated messages.
 func logger(w io.Writer, level slog.Level) *slog.Logger {
 	return slog.New(sample.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: level})))
 }
--- a/internal/cli/cmds/operator.go
+++ b/internal/cli/cmds/operator.go
@@ -33,13 +33,13 @@
 	errUnknown = errors.New("unknown")
 )
 
-// operator talks to the operators' side of one entry VM.
-type operator struct {
+// operatorClient calls the operators' HTTP API of one entry VM.
+type operatorClient struct {
 	url, name, key string
 	http           *http.Client
 }
 
-const operatorWait = 30 * time.Second
+const operatorTimeout = 30 * time.Second
 
 func operatorFlags(f *pflag.FlagSet) {
 	f.String("at", "", "operators' address of any entry VM (needed)")
@@ -48,12 +48,12 @@
 	f.String("authority", "", "PEM file of the authority, if the address speaks TLS")
 }
 
-func newOperator(c *cobra.Command) (*operator, error) {
+func newOperator(c *cobra.Command) (*operatorClient, error) {
 	get := func(name string) string {
 		v, _ := c.Flags().GetString(name)
 		return v
 	}
-	o := &operator{name: get("as"), key: os.Getenv("DAHLIAWINCH_KEY"), http: &http.Client{Timeout: operatorWait}}
+	o := &operatorClient{name: get("as"), key: os.Getenv("DAHLIAWINCH_KEY"), http: &http.Client{Timeout: operatorTimeout}}
 	if get("at") == "" {
 		return nil, fmt.Errorf("at: is missing; name the operators' address of any entry VM: %w", errRefused)
 	}
@@ -79,7 +79,7 @@
 }
 
 // call sends a request and decodes the JSON answer into out; it returns the status.
-func (o *operator) call(ctx context.Context, method, path string, in, out any) (int, error) {
+func (o *operatorClient) call(ctx context.Context, method, path string, in, out any) (int, error) {
 	var body io.Reader
 	if in != nil {
 		text, err := json.Marshal(in)
@@ -90,13 +90,13 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, method, o.url+path, body)
 	if err != nil {
-		return 0, fmt.Errorf("ask operator's side: %w", err)
+		return 0, fmt.Errorf("call operator API: %w", err)
 	}
 	req.Header.Set("Accept", "application/json")
 	req.SetBasicAuth(o.name, o.key)
 	resp, err := o.http.Do(req)
 	if err != nil {
-		return 0, fmt.Errorf("ask operator's side: %w", err)
+		return 0, fmt.Errorf("call operator API: %w", err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	text, err := io.ReadAll(resp.Body)
@@ -104,7 +104,7 @@
 		return 0, fmt.Errorf("read answer: %w", err)
 	}
 	if resp.StatusCode == http.StatusUnauthorized || resp.StatusCode == http.StatusNotFound || resp.StatusCode == http.StatusBadRequest {
-		return resp.StatusCode, trouble(text)
+		return resp.StatusCode, responseError(text)
 	}
 	if err := json.Unmarshal(text, out); err != nil {
 		return resp.StatusCode, fmt.Errorf("read answer: %w", err)
@@ -112,8 +112,8 @@
 	return resp.StatusCode, nil
 }
 
-func trouble(text []byte) error {
-	var t oper.Trouble
+func responseError(text []byte) error {
+	var t oper.ErrorBody
 	if err := json.Unmarshal(text, &t); err != nil || t.Error == "" {
 		return fmt.Errorf("%w: %s", errRefused, text)
 	}
@@ -125,7 +125,7 @@
 }
 
 // current fetches the revision in force.
-func (o *operator) current(ctx context.Context) (oper.Document, error) {
+func (o *operatorClient) current(ctx context.Context) (oper.Document, error) {
 	var d oper.Document
 	if _, err := o.call(ctx, http.MethodGet, "/document", nil, &d); err != nil {
 		return d, err
@@ -133,43 +133,43 @@
 	return d, nil
 }
 
-// declare puts a document forward on a base and says what became of it; with watch
-// it returns only when the revision is in force everywhere.
-func (o *operator) declare(c *cobra.Command, base uint64, text []byte, watch time.Duration) error {
+// declare declares a document on a base revision, prints the result and waits up to
+// watch until the new revision is in force everywhere.
+func (o *operatorClient) declare(c *cobra.Command, base uint64, text []byte, watch time.Duration) error {
 	note, _ := c.Flags().GetString("note")
 	var v oper.Verdict
 	status, err := o.call(c.Context(), http.MethodPost, "/document", oper.Declaration{Base: base, Author: o.name, Note: note, Doc: text}, &v)
 	out := c.OutOrStdout()
 	switch {
 	case status == 0 && err != nil:
-		return &code{exitUnknown, fmt.Errorf("%w: no answer; look at: dahliawinch history: %w", errUnknown, err)}
+		return &exitError{exitUnknown, fmt.Errorf("%w: no answer; look at: dahliawinch history: %w", errUnknown, err)}
 	case err != nil:
-		return &code{exitRefused, err}
+		return &exitError{exitRefused, err}
 	}
 	switch v.Verdict {
 	case "accepted":
 		fmt.Fprintf(out, "accepted as revision %d\n", v.Rev)
 		return o.watch(c, v.Rev, watch)
 	case "lost":
-		return &code{exitLost, fmt.Errorf("%w: %s was first with revision %d", errLost, v.Winner, v.Rev)}
+		return &exitError{exitLost, fmt.Errorf("%w: %s was first with revision %d", errLost, v.Winner, v.Rev)}
 	case "refused":
-		return &code{exitRefused, fmt.Errorf("%w: %s", errRefused, v.Detail)}
+		return &exitError{exitRefused, fmt.Errorf("%w: %s", errRefused, v.Detail)}
 	default:
-		return &code{exitUnknown, fmt.Errorf("%w: %s", errUnknown, v.Detail)}
+		return &exitError{exitUnknown, fmt.Errorf("%w: %s", errUnknown, v.Detail)}
 	}
 }
 
-// watch prints how far a revision has come until it is in force everywhere.
-func (o *operator) watch(c *cobra.Command, rev uint64, patience time.Duration) error {
-	out, last, ends := c.OutOrStdout(), "", time.Now().Add(patience)
+// watch prints a revision's rollout until it is in force everywhere or timeout ends.
+func (o *operatorClient) watch(c *cobra.Command, rev uint64, timeout time.Duration) error {
+	out, last, deadline := c.OutOrStdout(), "", time.Now().Add(timeout)
 	for {
-		var r oper.Reach
+		var r oper.Rollout
 		if _, err := o.call(c.Context(), http.MethodGet, fmt.Sprintf("/spread?rev=%d", rev), nil, &r); err != nil {
-			return &code{exitUnknown, err}
+			return &exitError{exitUnknown, err}
 		}
 		missing := 0
 		for _, row := range r.Rows {
-			if !row.There {
+			if !row.InForce {
 				missing++
 			}
 		}
@@ -180,13 +180,13 @@
 		if missing == 0 && len(r.Rows) > 0 {
 			return nil
 		}
-		if time.Now().After(ends) {
+		if time.Now().After(deadline) {
 			for _, row := range r.Rows {
-				if !row.There {
+				if !row.InForce {
 					fmt.Fprintf(out, "%s %s %s\n", row.VM, row.Domain, row.Says)
 				}
 			}
-			return &code{exitUnknown, fmt.Errorf("%w: not in force everywhere after %s", errUnknown, patience)}
+			return &exitError{exitUnknown, fmt.Errorf("%w: not in force everywhere after %s", errUnknown, timeout)}
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
--- a/internal/cli/daemon/daemon.go
+++ b/internal/cli/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon runs the daemon of one entry VM on leased endpoints. It is apart from the other
-// commands, so that a program that is this daemon alone starts without what they bring.
+// Package daemon runs the daemon of one entry VM on leased endpoints. It is separate from the
+// other commands so that dahliawinchd starts without their dependencies.
 package daemon
 
 import (
@@ -20,20 +20,20 @@
 	"dahliawinch/platform"
 )
 
-// linesPerSecond of one message are logged, so that every request of a busy VM can be
-// followed (it takes about 40 a second) and a flood stays under 100 KB a second.
-const linesPerSecond = 200
+// maxLinesPerSecond limits the log lines of one message: it lets through every request of a busy
+// VM (about 40 a second) and keeps a flood under 100 KB a second.
+const maxLinesPerSecond = 200
 
-// lookEvery is how often the settings file is looked at: it may change without a signal.
-const lookEvery = time.Second
+// pollInterval is how often the settings file is read: it may change without a signal.
+const pollInterval = time.Second
 
-// What the command is, for its help.
+// Short and Long are the help texts of the command.
 const (
 	Short = "Run the daemon of one entry VM on leased endpoints"
 	Long  = "Run the daemon of one entry VM whose endpoints are leased from a platform. The\nsettings file is named here or by the variable " + platform.SettingsVar + ". SIGHUP or a\nchange of the file takes it over again; SIGTERM hands over and ends."
 )
 
-// Run runs the daemon until it is told to leave. The first argument, or else the platform's
+// Run runs the daemon until a signal. The first argument, or else the platform's environment
 // variable, names the settings file.
 func Run(args []string, out io.Writer) error {
 	path := os.Getenv(platform.SettingsVar)
@@ -44,10 +44,10 @@
 	if err != nil {
 		return fmt.Errorf("daemon: %w", err)
 	}
-	bound(set)
+	limitMemory(set)
 	lines := sink.New(out)
-	log := slog.New(sample.Limit(slog.NewTextHandler(lines, &slog.HandlerOptions{Level: slog.Level(set.LogLevel())}), linesPerSecond))
-	leave, kill, stop := Signals()
+	log := slog.New(sample.Limit(slog.NewTextHandler(lines, &slog.HandlerOptions{Level: slog.Level(set.LogLevel())}), maxLinesPerSecond))
+	drain, kill, stop := Signals()
 	defer stop()
 	logs, done := context.WithCancel(context.Background())
 	defer lines.Flush()
@@ -59,37 +59,38 @@
 		Callers: platform.Callers, Ready: platform.Ready,
 	}, log)
 	if err != nil {
-		return &failure{fmt.Errorf("start: %w", err)}
+		return &runError{fmt.Errorf("start: %w", err)}
 	}
-	go follow(kill, path, log, d.Reload)
-	if err := d.Run(kill, leave); err != nil {
-		return &failure{fmt.Errorf("run: %w", err)}
+	go watchSettings(kill, path, log, d.Reload)
+	if err := d.Run(kill, drain); err != nil {
+		return &runError{fmt.Errorf("run: %w", err)}
 	}
 	return nil
 }
 
-// The exit codes of a daemon that did not end as it was told to.
+// Exit codes for errors.
 const (
 	exitFailed = 1
 	exitUsage  = 2
 )
 
-// Code is the exit code for an error: a daemon that ran failed, all else is a wrong call.
-func Code(err error) int {
-	var failed *failure
+// ExitCode returns the exit code for an error: exitFailed if the settings were valid and the
+// daemon failed, exitUsage for all else.
+func ExitCode(err error) int {
+	var failed *runError
 	if errors.As(err, &failed) {
 		return exitFailed
 	}
 	return exitUsage
 }
 
-// failure is an error of a daemon whose settings are good.
-type failure struct{ err error }
+// runError is an error of a daemon whose settings are valid.
+type runError struct{ err error }
 
-func (f *failure) Error() string { return f.err.Error() }
-func (f *failure) Unwrap() error { return f.err }
+func (f *runError) Error() string { return f.err.Error() }
+func (f *runError) Unwrap() error { return f.err }
 
-// Signals returns a context that the first signal ends, and one for the second.
+// Signals returns a context that the first signal cancels, and one that the second cancels.
 func Signals() (first, second context.Context, stop func()) {
 	first, stop1 := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	second, cancel := context.WithCancel(context.Background())
@@ -107,27 +108,27 @@
 	return first, second, func() { stop1(); cancel() }
 }
 
-// heapPart is the part of the memory limit at which the collector works harder.
-const heapPart = 0.6
+// heapFraction of the memory limit is the heap size from which the collector works harder.
+const heapFraction = 0.6
 
-// growth is by how much, in percent of what is in use, the heap grows until it is collected. The
-// heap is small, so collecting it more often costs little, and the peak is what is paid for: 16.6
-// MB a VM among 97 for 136 s of processor time of all in 30 s, 20.1 MB for 123 s at the usual 100
-// (played, one run each).
-const growth = 50
+// gcPercent is the heap growth, in percent of the live heap, at which a collection starts. The
+// heap is small, so collecting it more often costs little, and the peak is what is paid for. With
+// 97 VMs for 30 s: 16.6 MB a VM and 136 s of processor time in total; at Go's default of 100, 20.1
+// MB and 123 s (simulated, one run each).
+const gcPercent = 50
 
-// bound keeps the process under its memory limit.
-func bound(set serve.Settings) {
-	debug.SetGCPercent(growth)
-	debug.SetMemoryLimit(int64(heapPart * float64(set.Memory) * (1 << 20)))
+// limitMemory configures the garbage collector to keep the process under its memory limit.
+func limitMemory(set serve.Settings) {
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(int64(heapFraction * float64(set.Memory) * (1 << 20)))
 }
 
-// follow takes the settings over when the file changes or a signal says so.
-func follow(ctx context.Context, path string, log *slog.Logger, take func(serve.Settings)) {
+// watchSettings applies the settings when the file changes; SIGHUP makes it read the file at once.
+func watchSettings(ctx context.Context, path string, log *slog.Logger, apply func(serve.Settings)) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
-	t := time.NewTicker(lookEvery)
+	t := time.NewTicker(pollInterval)
 	defer t.Stop()
 	last, _ := os.ReadFile(path)
 	for {
@@ -135,7 +136,7 @@
 		case <-ctx.Done():
 			return
 		case <-hup:
-			log.Info("told to look at the settings")
+			log.Info("reloading settings on SIGHUP")
 		case <-t.C:
 		}
 		text, err := os.ReadFile(path)
@@ -145,9 +146,9 @@
 		last = text
 		set, err := serve.Read(path)
 		if err != nil {
-			log.Warn("settings stay as they were", "err", err)
+			log.Warn("settings reload failed, keeping the current ones", "err", err)
 			continue
 		}
-		take(set)
+		apply(set)
 	}
 }
--- a/internal/cli/daemon/daemon_test.go
+++ b/internal/cli/daemon/daemon_test.go
@@ -12,26 +12,26 @@
 	"github.com/matryer/is"
 )
 
-// Whoever starts the daemon tells a wrong call, which a restart does not mend, from a failure.
-func TestExitCodesTellAWrongCallFromAFailure(t *testing.T) {
+// The exit code distinguishes a usage error, which a restart does not fix, from a failure.
+func TestExitCodes(t *testing.T) {
 	is := is.New(t)
 	err := Run([]string{filepath.Join(t.TempDir(), "none.json")}, io.Discard)
 	is.True(errors.Is(err, os.ErrNotExist))
-	is.Equal(Code(err), exitUsage)
+	is.Equal(ExitCode(err), exitUsage)
 
 	bad := filepath.Join(t.TempDir(), "bad.json")
 	is.NoErr(os.WriteFile(bad, []byte(`{"cores":-1}`), 0o600))
 	err = Run([]string{bad}, io.Discard)
 	is.True(strings.Contains(err.Error(), "cores: -1 is not usable"))
-	is.Equal(Code(err), exitUsage)
+	is.Equal(ExitCode(err), exitUsage)
 
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	defer taken.Close() //nolint:errcheck // the test is over
+	defer taken.Close() //nolint:errcheck // end of the test
 	at := taken.Addr().String()
 	busy := filepath.Join(t.TempDir(), "busy.json")
 	is.NoErr(os.WriteFile(busy, []byte(`{"domain":"a","caller":"`+at+`","ready":"`+at+`","mesh":"`+at+`","store":"127.0.0.1:9"}`), 0o600))
 	err = Run([]string{busy}, io.Discard)
 	is.True(err != nil)
-	is.Equal(Code(err), exitFailed)
+	is.Equal(ExitCode(err), exitFailed)
 }
--- a/internal/edge/oper/admit.go
+++ b/internal/edge/oper/admit.go
@@ -10,31 +10,31 @@
 	"dahliawinch/internal/conf/doc"
 )
 
-// open are the paths that need no key: the platform's balancer and metrics ask them.
-var open = map[string]bool{"/health": true, "/ready": true, "/metrics": true}
+// publicPaths need no key: the platform's balancer and metrics collector read them.
+var publicPaths = map[string]bool{"/health": true, "/ready": true, "/metrics": true}
 
-// admit finds the operator by name and key (HTTP basic authentication, which a
-// phone's browser asks for by itself). Without declared operators anyone may come
-// in and names themselves, which is for test deployments only.
-func (s *Server) admit(ctx *fasthttp.RequestCtx) (author string, ok bool) {
-	if open[string(ctx.Path())] {
+// authenticate checks an operator's name and key (HTTP basic authentication, for which
+// a phone's browser prompts by itself). Without configured operators it accepts any
+// name, which is for test deployments only.
+func (s *Server) authenticate(ctx *fasthttp.RequestCtx) (author string, ok bool) {
+	if publicPaths[string(ctx.Path())] {
 		return "", true
 	}
-	name, key, _ := basic(string(ctx.Request.Header.Peek(fasthttp.HeaderAuthorization)))
+	name, key, _ := parseBasic(string(ctx.Request.Header.Peek(fasthttp.HeaderAuthorization)))
 	if len(s.operators) == 0 {
 		return name, true
 	}
 	hash, known := s.operators[name]
-	same := subtle.ConstantTimeCompare([]byte(hash), []byte(doc.Hash(key))) == 1
-	if known && same {
+	match := subtle.ConstantTimeCompare([]byte(hash), []byte(doc.Hash(key))) == 1
+	if known && match {
 		return name, true
 	}
 	ctx.Response.Header.Set(fasthttp.HeaderWWWAuthenticate, `Basic realm="dahliawinch"`)
-	reply(ctx, fasthttp.StatusUnauthorized, Trouble{Error: "name or key is wrong; nothing was done"})
+	writeJSON(ctx, fasthttp.StatusUnauthorized, ErrorBody{Error: "name or key is wrong; nothing was done"})
 	return "", false
 }
 
-func basic(header string) (name, key string, ok bool) {
+func parseBasic(header string) (name, key string, ok bool) {
 	text, ok := strings.CutPrefix(header, "Basic ")
 	if !ok {
 		return "", "", false
--- a/internal/edge/oper/console.go
+++ b/internal/edge/oper/console.go
@@ -18,22 +18,22 @@
 	"dahliawinch/internal/conf/valid"
 )
 
-// The console's pages are one narrow column for a phone, work without scripts and
-// have the answer on the first screen.
+// The console's pages fit a phone's narrow screen, work without scripts and show the
+// answer on the first screen.
 //
 //go:embed pages/*.html
 var pageFiles embed.FS
 
 var pages = template.Must(template.ParseFS(pageFiles, "pages/*.html"))
 
-// Moods of an answer.
+// Moods are the CSS classes of an answer.
 const (
-	good = ""
-	wait = "wait"
-	bad  = "bad"
+	moodGood = ""
+	moodWait = "wait"
+	moodBad  = "bad"
 )
 
-// page is what every page has.
+// page holds the fields that all pages share.
 type page struct {
 	Title   string
 	Refresh bool
@@ -41,7 +41,7 @@
 	Answer  string
 }
 
-func show(ctx *fasthttp.RequestCtx, name string, data any) {
+func render(ctx *fasthttp.RequestCtx, name string, data any) {
 	ctx.SetContentType("text/html; charset=utf-8")
 	ctx.Response.Header.Set("Cache-Control", "no-store")
 	if err := pages.ExecuteTemplate(ctx, name, data); err != nil {
@@ -49,14 +49,14 @@
 	}
 }
 
-// console serves the pages; ok is false for a path that is none of them.
+// console serves the HTML pages; ok is false for any other path.
 func (s *Server) console(ctx *fasthttp.RequestCtx, author string) (ok bool) {
 	path := string(ctx.Path())
 	name, isForm := strings.CutPrefix(path, "/form/")
 	post := ctx.IsPost()
 	if site := string(ctx.Request.Header.Peek("Sec-Fetch-Site")); post && site != "" && site != "same-origin" {
-		// The browser sends an operator's key along whoever wrote the page.
-		s.say(ctx, fasthttp.StatusForbidden, bad, "This form came from another site; nothing was done.")
+		// A browser sends the operator's key with forms of any site (CSRF).
+		s.showMessage(ctx, fasthttp.StatusForbidden, moodBad, "This form came from another site; nothing was done.")
 		return true
 	}
 	switch {
@@ -65,13 +65,13 @@
 	case isForm:
 		s.form(ctx, name, post)
 	case path == "/declare" && post:
-		s.declared(ctx, author)
+		s.declareForm(ctx, author)
 	case path == "/watch" && !post:
 		s.watch(ctx)
 	case path == "/history" && !post:
 		s.history(ctx)
 	case path == "/back" && post:
-		s.back(ctx)
+		s.revert(ctx)
 	default:
 		return false
 	}
@@ -79,15 +79,15 @@
 }
 
 func (s *Server) home(ctx *fasthttp.RequestCtx) {
-	mood, answer, _ := s.spread(0)
-	show(ctx, "home.html", struct {
+	mood, answer, _ := s.rollout(0)
+	render(ctx, "home.html", struct {
 		page
 		Forms []forms.Form
 	}{page{Title: "dahliawinch", Mood: mood, Answer: answer}, forms.All})
 }
 
-// input is one field of a form as the page shows it.
-type input struct {
+// formInput is one form field as the page shows it.
+type formInput struct {
 	Name, Help, Value string
 	Choices           []string
 }
@@ -95,12 +95,12 @@
 func (s *Server) form(ctx *fasthttp.RequestCtx, name string, post bool) {
 	f, err := forms.Find(name)
 	if err != nil {
-		s.say(ctx, fasthttp.StatusNotFound, bad, err.Error())
+		s.showMessage(ctx, fasthttp.StatusNotFound, moodBad, err.Error())
 		return
 	}
-	cur, d, err := s.base()
+	cur, d, err := s.currentDoc()
 	if err != nil {
-		s.say(ctx, fasthttp.StatusServiceUnavailable, bad, err.Error())
+		s.showMessage(ctx, fasthttp.StatusServiceUnavailable, moodBad, err.Error())
 		return
 	}
 	v := forms.Values{}
@@ -117,30 +117,30 @@
 			return
 		}
 		ctx.SetStatusCode(fasthttp.StatusBadRequest)
-		p.Mood, p.Answer = bad, err.Error()
+		p.Mood, p.Answer = moodBad, err.Error()
 	}
-	var inputs []input
+	var inputs []formInput
 	for _, in := range f.Fields {
-		x := input{Name: in.Name, Help: in.Help, Value: v[in.Name]}
+		x := formInput{Name: in.Name, Help: in.Help, Value: v[in.Name]}
 		if in.Choices != nil {
 			x.Choices = in.Choices(d)
 		}
 		inputs = append(inputs, x)
 	}
-	show(ctx, "form.html", struct {
+	render(ctx, "form.html", struct {
 		page
 		Form   forms.Form
-		Inputs []input
+		Inputs []formInput
 	}{p, f, inputs})
 }
 
-var errNone = errors.New("no document is known yet; declare one with: dahliawinch declare FILE")
+var errNoDocument = errors.New("no document is known yet; declare one with: dahliawinch declare FILE")
 
-// base is the revision that a change starts from.
-func (s *Server) base() (fold.Revision, *doc.Document, error) {
+// currentDoc returns the current revision, on which a change is based.
+func (s *Server) currentDoc() (fold.Revision, *doc.Document, error) {
 	cur, ok := s.keeper.Current()
 	if !ok {
-		return cur, nil, errNone
+		return cur, nil, errNoDocument
 	}
 	d, err := doc.Parse(cur.Doc)
 	if err != nil {
@@ -149,7 +149,7 @@
 	return cur, d, nil
 }
 
-// confirm shows what would change, if the changed document is valid.
+// confirm shows the changes for confirmation if the changed document is valid.
 func (s *Server) confirm(ctx *fasthttp.RequestCtx, title string, cur fold.Revision, next *doc.Document) error {
 	if ps := next.Check(); len(ps) > 0 {
 		return &valid.Error{Problems: ps}
@@ -162,7 +162,7 @@
 	if err != nil {
 		return fmt.Errorf("confirm: %w", err)
 	}
-	show(ctx, "confirm.html", struct {
+	render(ctx, "confirm.html", struct {
 		page
 		Base    uint64
 		Changes []forms.Change
@@ -171,34 +171,34 @@
 	return nil
 }
 
-// declared puts the confirmed document forward and goes on to the page that shows
+// declareForm declares the confirmed document and redirects to the page that shows
 // where it is in force.
-func (s *Server) declared(ctx *fasthttp.RequestCtx, author string) {
+func (s *Server) declareForm(ctx *fasthttp.RequestCtx, author string) {
 	base, err := strconv.ParseUint(string(ctx.PostArgs().Peek("base")), 10, 64)
 	if err != nil {
-		s.say(ctx, fasthttp.StatusBadRequest, bad, "base: is no revision")
+		s.showMessage(ctx, fasthttp.StatusBadRequest, moodBad, "base: is no revision")
 		return
 	}
-	life, cancel := context.WithTimeout(context.Background(), declareWait)
+	declareCtx, cancel := context.WithTimeout(context.Background(), declareTimeout)
 	defer cancel()
-	v, err := s.keeper.Declare(life, base, ctx.PostArgs().Peek("doc"), author, string(ctx.PostArgs().Peek("note")))
+	v, err := s.keeper.Declare(declareCtx, base, ctx.PostArgs().Peek("doc"), author, string(ctx.PostArgs().Peek("note")))
 	switch {
 	case errors.Is(err, keeper.ErrNotAppended):
-		s.say(ctx, fasthttp.StatusServiceUnavailable, bad, "Refused: nothing was declared.", err.Error())
+		s.showMessage(ctx, fasthttp.StatusServiceUnavailable, moodBad, "Refused: nothing was declared.", err.Error())
 	case err != nil:
-		s.say(ctx, fasthttp.StatusGatewayTimeout, wait, "Unknown: it may have been declared. Look at the history before you try again.", err.Error())
+		s.showMessage(ctx, fasthttp.StatusGatewayTimeout, moodWait, "Unknown: it may have been declared. Look at the history before you try again.", err.Error())
 	case !v.Won && v.Why != "":
-		s.say(ctx, fasthttp.StatusConflict, bad, "Refused: the document is not valid.", v.Why)
+		s.showMessage(ctx, fasthttp.StatusConflict, moodBad, "Refused: the document is not valid.", v.Why)
 	case !v.Won:
-		s.say(ctx, fasthttp.StatusConflict, bad, fmt.Sprintf("Lost: %s was first, with revision %d. Nothing of yours is in force.", v.Author, v.Rev), "Look at what is in force now and fill in the form again.")
+		s.showMessage(ctx, fasthttp.StatusConflict, moodBad, fmt.Sprintf("Lost: %s was first, with revision %d. Nothing of yours is in force.", v.Author, v.Rev), "Look at what is in force now and fill in the form again.")
 	default:
 		ctx.Redirect("/watch?rev="+strconv.FormatUint(v.Rev, 10), fasthttp.StatusSeeOther)
 	}
 }
 
-func (s *Server) say(ctx *fasthttp.RequestCtx, code int, mood, answer string, lines ...string) {
+func (s *Server) showMessage(ctx *fasthttp.RequestCtx, code int, mood, answer string, lines ...string) {
 	ctx.SetStatusCode(code)
-	show(ctx, "said.html", struct {
+	render(ctx, "said.html", struct {
 		page
 		Lines []string
 	}{page{Title: "Declare", Mood: mood, Answer: answer}, lines})
@@ -206,36 +206,36 @@
 
 func (s *Server) watch(ctx *fasthttp.RequestCtx) {
 	rev, _ := strconv.ParseUint(string(ctx.QueryArgs().Peek("rev")), 10, 64)
-	mood, answer, rows := s.spread(rev)
-	show(ctx, "watch.html", struct {
+	mood, answer, rows := s.rollout(rev)
+	render(ctx, "watch.html", struct {
 		page
-		Rows []Spread
-	}{page{Title: "In force", Refresh: mood == wait, Mood: mood, Answer: answer}, rows})
+		Rows []RolloutRow
+	}{page{Title: "In force", Refresh: mood == moodWait, Mood: mood, Answer: answer}, rows})
 }
 
-// past is a revision as the history shows it.
-type past struct {
+// pastRevision is a revision as the history page shows it.
+type pastRevision struct {
 	fold.Revision
 	Old bool
 }
 
 func (s *Server) history(ctx *fasthttp.RequestCtx) {
 	cur, _ := s.keeper.Current()
-	var list []past
+	var list []pastRevision
 	for _, r := range s.keeper.History() {
-		list = append([]past{{r, r.Rev != cur.Rev}}, list...)
+		list = append([]pastRevision{{r, r.Rev != cur.Rev}}, list...)
 	}
-	show(ctx, "history.html", struct {
+	render(ctx, "history.html", struct {
 		page
-		Past []past
+		Past []pastRevision
 	}{page{Title: "History"}, list})
 }
 
-func (s *Server) back(ctx *fasthttp.RequestCtx) {
+func (s *Server) revert(ctx *fasthttp.RequestCtx) {
 	rev, _ := strconv.ParseUint(string(ctx.PostArgs().Peek("rev")), 10, 64)
-	cur, _, err := s.base()
+	cur, _, err := s.currentDoc()
 	if err != nil {
-		s.say(ctx, fasthttp.StatusServiceUnavailable, bad, err.Error())
+		s.showMessage(ctx, fasthttp.StatusServiceUnavailable, moodBad, err.Error())
 		return
 	}
 	for _, r := range s.keeper.History() {
@@ -247,9 +247,9 @@
 			err = s.confirm(ctx, fmt.Sprintf("Back to revision %d", rev), cur, old)
 		}
 		if err != nil {
-			s.say(ctx, fasthttp.StatusBadRequest, bad, err.Error())
+			s.showMessage(ctx, fasthttp.StatusBadRequest, moodBad, err.Error())
 		}
 		return
 	}
-	s.say(ctx, fasthttp.StatusNotFound, bad, fmt.Sprintf("Revision %d is not remembered here.", rev))
+	s.showMessage(ctx, fasthttp.StatusNotFound, moodBad, fmt.Sprintf("Revision %d is not remembered here.", rev))
 }
--- a/internal/edge/oper/server.go
+++ b/internal/edge/oper/server.go
@@ -1,5 +1,5 @@
-// Package oper is the operators' side of an entry VM: health, metrics, status and
-// the declared document.
+// Package oper serves the operators' HTTP API and console of an entry VM: health,
+// metrics, status and the declared document.
 package oper
 
 import (
@@ -24,33 +24,33 @@
 	"dahliawinch/internal/task/flow"
 )
 
-// declareWait is how long a declaration may take before its fate is unknown.
-const declareWait = 10 * time.Second
+// declareTimeout limits a declaration; after it the result is unknown.
+const declareTimeout = 10 * time.Second
 
-// Server answers operators.
+// Server serves operators.
 type Server struct {
 	node    *flow.Node
 	keeper  *keeper.Keeper
 	http    *fasthttp.Server
 	metrics fasthttp.RequestHandler
-	// operators are the key hashes by name; none means that anyone may come in.
+	// operators maps names to key hashes; if it is empty, anyone has access.
 	operators map[string]string
 }
 
-// NewServer returns the operators' side of a node.
+// NewServer returns the operators' server of a node.
 func NewServer(node *flow.Node, k *keeper.Keeper, m *meter.Meter, operators map[string]string) *Server {
 	s := &Server{
 		node: node, keeper: k, operators: operators,
 		metrics: fasthttpadaptor.NewFastHTTPHandler(promhttp.HandlerFor(m.Registry, promhttp.HandlerOpts{})),
 	}
 	s.http = &fasthttp.Server{
-		Handler: s.handle, Name: "dahliawinch", ReadTimeout: declareWait, IdleTimeout: time.Minute,
+		Handler: s.handle, Name: "dahliawinch", ReadTimeout: declareTimeout, IdleTimeout: time.Minute,
 		MaxRequestBodySize: 2 * doc.MaxText, CloseOnShutdown: true,
 	}
 	return s
 }
 
-// Serve answers until Shutdown.
+// Serve accepts connections on l until Shutdown.
 func (s *Server) Serve(l net.Listener) error {
 	if err := s.http.Serve(l); err != nil {
 		return fmt.Errorf("serve operators: %w", err)
@@ -61,13 +61,13 @@
 // Shutdown closes the listener and waits for requests in progress.
 func (s *Server) Shutdown(ctx context.Context) error {
 	if err := s.http.ShutdownWithContext(ctx); err != nil {
-		return fmt.Errorf("end operators' connections: %w", err)
+		return fmt.Errorf("shut down operators' server: %w", err)
 	}
 	return nil
 }
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
-	author, ok := s.admit(ctx)
+	author, ok := s.authenticate(ctx)
 	if !ok {
 		return
 	}
@@ -79,59 +79,59 @@
 	case "GET /metrics":
 		s.metrics(ctx)
 	case "GET /status":
-		reply(ctx, fasthttp.StatusOK, s.status())
+		writeJSON(ctx, fasthttp.StatusOK, s.status())
 	case "GET /document":
 		s.document(ctx)
 	case "POST /document":
 		s.declare(ctx, author)
 	case "GET /history":
-		s.past(ctx, author)
+		s.revisions(ctx, author)
 	case "GET /spread":
 		rev, _ := strconv.ParseUint(string(ctx.QueryArgs().Peek("rev")), 10, 64)
-		_, answer, rows := s.spread(rev)
-		reply(ctx, fasthttp.StatusOK, Reach{Answer: answer, Rows: rows})
+		_, answer, rows := s.rollout(rev)
+		writeJSON(ctx, fasthttp.StatusOK, Rollout{Answer: answer, Rows: rows})
 	default:
 		if s.console(ctx, author) {
 			return
 		}
-		reply(ctx, fasthttp.StatusNotFound, Trouble{Error: "not served; use / /health /ready /metrics /status /document /history /spread"})
+		writeJSON(ctx, fasthttp.StatusNotFound, ErrorBody{Error: "not served; use / /health /ready /metrics /status /document /history /spread"})
 	}
 }
 
-// Reach is how far a revision has come.
-type Reach struct {
-	Answer string   `json:"answer"`
-	Rows   []Spread `json:"rows"`
+// Rollout shows on which VMs a revision is in force.
+type Rollout struct {
+	Answer string       `json:"answer"`
+	Rows   []RolloutRow `json:"rows"`
 }
 
-// Past is one revision of the history.
-type Past struct {
+// Revision is one revision of the history.
+type Revision struct {
 	Rev    uint64          `json:"rev"`
 	Author string          `json:"author"`
 	Note   string          `json:"note,omitempty"`
 	Doc    json.RawMessage `json:"doc"`
 }
 
-// past lists the revisions as JSON for programs and as a page for browsers.
-func (s *Server) past(ctx *fasthttp.RequestCtx, author string) {
+// revisions lists the history as JSON for programs and as a page for browsers.
+func (s *Server) revisions(ctx *fasthttp.RequestCtx, author string) {
 	if strings.Contains(string(ctx.Request.Header.Peek(fasthttp.HeaderAccept)), "text/html") {
 		s.console(ctx, author)
 		return
 	}
-	list := []Past{}
+	list := []Revision{}
 	for _, r := range s.keeper.History() {
-		list = append(list, Past{r.Rev, r.Author, r.Note, r.Doc})
+		list = append(list, Revision{r.Rev, r.Author, r.Note, r.Doc})
 	}
-	reply(ctx, fasthttp.StatusOK, list)
+	writeJSON(ctx, fasthttp.StatusOK, list)
 }
 
-// Trouble is the body of an error.
-type Trouble struct {
+// ErrorBody is the body of an error response.
+type ErrorBody struct {
 	Error    string          `json:"error"`
 	Problems []valid.Problem `json:"problems,omitempty"`
 }
 
-func reply(ctx *fasthttp.RequestCtx, code int, v any) {
+func writeJSON(ctx *fasthttp.RequestCtx, code int, v any) {
 	text, err := json.MarshalIndent(v, "", "  ")
 	if err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusInternalServerError)
@@ -142,16 +142,16 @@
 	ctx.SetBody(append(text, '\n'))
 }
 
-// ready tells the platform's balancer whether new callers should come here.
+// ready tells the platform's balancer whether to send new callers to this VM.
 func (s *Server) ready(ctx *fasthttp.RequestCtx) {
 	_, _, ok := s.node.InForce()
 	switch {
 	case s.node.Draining():
-		reply(ctx, fasthttp.StatusServiceUnavailable, Trouble{Error: "this VM leaves"})
+		writeJSON(ctx, fasthttp.StatusServiceUnavailable, ErrorBody{Error: "this VM leaves"})
 	case !ok:
-		reply(ctx, fasthttp.StatusServiceUnavailable, Trouble{Error: "no document is known yet"})
+		writeJSON(ctx, fasthttp.StatusServiceUnavailable, ErrorBody{Error: "no document is known yet"})
 	case !s.node.View().Joined(s.node.Stats().Now):
-		reply(ctx, fasthttp.StatusServiceUnavailable, Trouble{Error: "not all listed VMs were heard yet"})
+		writeJSON(ctx, fasthttp.StatusServiceUnavailable, ErrorBody{Error: "not all listed VMs were heard yet"})
 	default:
 		ctx.SetBodyString("ready\n")
 	}
@@ -168,10 +168,10 @@
 func (s *Server) document(ctx *fasthttp.RequestCtx) {
 	r, _, ok := s.node.InForce()
 	if !ok {
-		reply(ctx, fasthttp.StatusNotFound, Trouble{Error: "no document is known yet"})
+		writeJSON(ctx, fasthttp.StatusNotFound, ErrorBody{Error: "no document is known yet"})
 		return
 	}
-	reply(ctx, fasthttp.StatusOK, Document{Rev: r.Rev, Author: r.Author, Note: r.Note, Doc: r.Doc})
+	writeJSON(ctx, fasthttp.StatusOK, Document{Rev: r.Rev, Author: r.Author, Note: r.Note, Doc: r.Doc})
 }
 
 // Declaration is the body of a POST to /document.
@@ -182,7 +182,7 @@
 	Doc    json.RawMessage `json:"doc"`
 }
 
-// Verdict is what became of a declaration.
+// Verdict is the result of a declaration.
 type Verdict struct {
 	Verdict string `json:"verdict"` // accepted, lost, refused or unknown
 	Rev     uint64 `json:"rev,omitempty"`
@@ -194,35 +194,35 @@
 	var d Declaration
 	if err := valid.Strict(ctx.PostBody(), &d); err != nil {
 		p := valid.JSONProblem("body", err)
-		reply(ctx, fasthttp.StatusBadRequest, Trouble{Error: p.String(), Problems: []valid.Problem{p}})
+		writeJSON(ctx, fasthttp.StatusBadRequest, ErrorBody{Error: p.String(), Problems: []valid.Problem{p}})
 		return
 	}
 	if author != "" {
-		d.Author = author // who holds the key, whatever the body says
+		d.Author = author // the authenticated name overrides the body
 	}
 	if d.Author == "" {
-		reply(ctx, fasthttp.StatusBadRequest, Trouble{Error: "author: is missing; say who declares"})
+		writeJSON(ctx, fasthttp.StatusBadRequest, ErrorBody{Error: "author: is missing; say who declares"})
 		return
 	}
-	life, cancel := context.WithTimeout(context.Background(), declareWait)
+	declareCtx, cancel := context.WithTimeout(context.Background(), declareTimeout)
 	defer cancel()
-	v, err := s.keeper.Declare(life, d.Base, d.Doc, d.Author, d.Note)
+	v, err := s.keeper.Declare(declareCtx, d.Base, d.Doc, d.Author, d.Note)
 	var invalid *valid.Error
 	switch {
 	case errors.As(err, &invalid):
-		reply(ctx, fasthttp.StatusBadRequest, Trouble{Error: "the document is invalid", Problems: invalid.Problems})
+		writeJSON(ctx, fasthttp.StatusBadRequest, ErrorBody{Error: "the document is invalid", Problems: invalid.Problems})
 	case errors.Is(err, keeper.ErrNotAppended):
-		reply(ctx, fasthttp.StatusServiceUnavailable, Verdict{Verdict: "refused", Detail: err.Error()})
+		writeJSON(ctx, fasthttp.StatusServiceUnavailable, Verdict{Verdict: "refused", Detail: err.Error()})
 	case err != nil:
-		reply(ctx, fasthttp.StatusGatewayTimeout, Verdict{Verdict: "unknown", Detail: err.Error()})
+		writeJSON(ctx, fasthttp.StatusGatewayTimeout, Verdict{Verdict: "unknown", Detail: err.Error()})
 	case !v.Won:
-		reply(ctx, fasthttp.StatusConflict, lost(v))
+		writeJSON(ctx, fasthttp.StatusConflict, lostVerdict(v))
 	default:
-		reply(ctx, fasthttp.StatusOK, Verdict{Verdict: "accepted", Rev: v.Rev, Winner: v.Author})
+		writeJSON(ctx, fasthttp.StatusOK, Verdict{Verdict: "accepted", Rev: v.Rev, Winner: v.Author})
 	}
 }
 
-func lost(v fold.Verdict) Verdict {
+func lostVerdict(v fold.Verdict) Verdict {
 	if v.Why != "" {
 		return Verdict{Verdict: "refused", Rev: v.Rev, Detail: v.Why}
 	}
--- a/internal/edge/oper/status.go
+++ b/internal/edge/oper/status.go
@@ -7,7 +7,7 @@
 	"dahliawinch/internal/conf/valid"
 )
 
-// Status is what a VM says of itself and of the others.
+// Status is a VM's own state and its view of the other VMs.
 type Status struct {
 	VM       netip.AddrPort `json:"vm"`
 	Domain   string         `json:"domain"`
@@ -15,13 +15,13 @@
 	Rev      uint64         `json:"rev"`
 	Since    time.Time      `json:"since,omitzero"`
 	Author   string         `json:"author,omitempty"`
-	Sure     bool           `json:"sure"`
+	Sure     bool           `json:"sure"` // Rev is certain up to what was read of the log
 	Draining bool           `json:"draining"`
 	Active   int            `json:"active"`
 	Waiting  int            `json:"waiting"`
 	Slots    int            `json:"slots"`
 	Free     int            `json:"free"`
-	Out      int            `json:"out"`
+	Out      int            `json:"out"` // ejected endpoints
 	Members  []Member       `json:"members"`
 }
 
@@ -32,7 +32,7 @@
 	State  string         `json:"state"`
 	Inc    uint64         `json:"inc"`
 	Rev    uint64         `json:"rev"`
-	Heard  valid.Span     `json:"heard"` // how long ago
+	Heard  valid.Span     `json:"heard"` // time since the last message
 	Free   int            `json:"free"`
 }
 
