--- a/internal/edge/entry/daemon_test.go
+++ b/internal/edge/entry/daemon_test.go
@@ -27,7 +27,7 @@
 
 // A daemon that is stopped before its listeners accept must end. fasthttp's shutdown
 // does nothing for a server that does not accept yet, so the process would hang.
-func TestDaemonEndedWhileItStartsEnds(t *testing.T) {
+func TestDaemonStoppedDuringStartEnds(t *testing.T) {
 	is := is.New(t)
 	for range 20 {
 		set := setup.Default()
--- a/internal/edge/wire/pool.go
+++ b/internal/edge/wire/pool.go
@@ -186,9 +186,9 @@
 	p.idle = map[netip.AddrPort][]*conn{}
 }
 
-// Open returns the number of idle connections to one endpoint, and of all connections
+// ConnCounts returns the number of idle connections to one endpoint, and of all connections
 // in use.
-func (p *Pool) Open(at netip.AddrPort) (idle, busy int) {
+func (p *Pool) ConnCounts(at netip.AddrPort) (idle, busy int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.idle[at]), len(p.busy)
--- a/internal/edge/wire/pool_test.go
+++ b/internal/edge/wire/pool_test.go
@@ -185,7 +185,7 @@
 			is.Equal(r.Ending, flow.Ran)
 		}
 		is.Equal(h.dials, 1)
-		idle, busy := p.Open(h.e.Addr)
+		idle, busy := p.ConnCounts(h.e.Addr)
 		is.Equal(idle, 1)
 		is.Equal(busy, 0)
 	})
