--- a/internal/tool/grid/bound.go
+++ b/internal/tool/grid/bound.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// boundStep is how finely objectives are told apart.
+// boundStep is the resolution of deadlines in Bound.
 const boundStep = 50 * time.Millisecond
 
-// Bound is the part of the worth of a span's jobs that nobody could exceed: with all jobs
-// known beforehand, tasks cut as finely as one likes, no message taking any time, and the
-// endpoints empty at first, the densest jobs by worth for each core-second are taken, as
-// long as by every moment no more work is due than the cores have done. Cores is the part
-// of them that tasks can fill: 1 is beyond doubt, and 0.84 is what goes in of tasks of 27
-// cores, two to 64 and three to 96.
+// Bound returns an upper bound on the share of the worth of a span's jobs that any scheduler could
+// earn. It assumes that all jobs are known beforehand, tasks can be cut at will, messages take no
+// time, and the endpoints are empty at first. It takes the jobs with the most worth for each
+// core-second, as long as at no moment more work is due than the cores can have done by then. The
+// parameter cores is the share of the cores that tasks can fill: 1 for a certain bound, and 0.84
+// for tasks of 27 cores, of which two fit on 64 cores and three on 96.
 func (g *Grid) Bound(from, to time.Duration, cores float64) float64 {
 	total := 0.0
 	for _, e := range g.endpoints {
@@ -22,13 +22,13 @@
 	}
 	var jobs []*Result
 	all, last := 0.0, 0
-	for r := range g.sent(every, from, to) {
+	for r := range g.submitted(allKinds, from, to) {
 		jobs = append(jobs, r)
 		all += g.worth(r)
 		last = max(last, r.due(from))
 	}
 	slices.SortFunc(jobs, func(a, b *Result) int { return cmp.Compare(g.density(b), g.density(a)) })
-	room := make([]float64, last+1) // work that may still be due by each step
+	room := make([]float64, last+1) // core-seconds still free up to each step
 	for i := range room {
 		room[i] = total * (time.Duration(i+1) * boundStep).Seconds()
 	}
@@ -44,8 +44,8 @@
 	return got / max(all, 1e-9)
 }
 
-// due is the step by which a job must be done.
-func (r *Result) due(from time.Duration) int { return int((r.At + r.Aim - from) / boundStep) }
+// due returns the step by which a job must be done.
+func (r *Result) due(from time.Duration) int { return int((r.At + r.Objective - from) / boundStep) }
 
-// density is the worth of a job for each core-second.
+// density returns the worth of a job for each core-second.
 func (g *Grid) density(r *Result) float64 { return g.worth(r) / r.Work }
--- a/internal/tool/grid/cordon_test.go
+++ b/internal/tool/grid/cordon_test.go
@@ -7,65 +7,64 @@
 	"github.com/matryer/is"
 )
 
-// inForce is how soon after it was declared a cordon is in force on all VMs while all is calm.
-const inForce = 300 * time.Millisecond
+// cordonDelay is how soon a declared cordon is in force on all VMs if there are no faults.
+const cordonDelay = 300 * time.Millisecond
 
-// Symptom: tasks start in a failure domain long after its operators cordoned it, or jobs are lost
-// around that moment. Sequence: a domain is cordoned under load for five seconds. Cause: the word is
-// read by nobody; or what waits at the domain's owners stays there.
+// Guards against tasks that start in a failure domain long after it was cordoned, or jobs lost
+// around that moment. The domain is cordoned under load for five seconds. It failed if the cordon
+// was not applied, or if jobs that waited at its owners stayed there.
 func TestCordonedDomainStartsNothing(t *testing.T) {
 	is := is.New(t)
 	const span = 5 * time.Second
-	set := Users(90)
-	set.Faults = []Fault{{At: hit, Do: func(g *Grid) { g.Cordon("fd-b", inForce, span) }}}
-	g := play(t, set)
-	report(t, g, hit-time.Second, hit+span+time.Second)
+	set := UserSetup(90)
+	set.Faults = []Fault{{At: faultAt, Do: func(g *Grid) { g.Cordon("fd-b", cordonDelay, span) }}}
+	g := simulate(t, set)
+	logPerKind(t, g, faultAt-time.Second, faultAt+span+time.Second)
 	// 64 % of all cores are asked for, 85 % of those that are left.
-	is.True(g.Counts(every, hit-time.Second, hit+span).Share() >= 0.93)
-	is.True(g.Counts(every, hit+span, hit+span+2*time.Second).Share() >= 0.97)
+	is.True(g.Counts(allKinds, faultAt-time.Second, faultAt+span).Share() >= 0.93)
+	is.True(g.Counts(allKinds, faultAt+span, faultAt+span+2*time.Second).Share() >= 0.97)
 }
 
-// Symptom: as above. Sequence: two domains are cordoned, one after the other. Cause: as above, or
-// jobs are sent to and fro between them.
+// The same with two domains cordoned one after the other: jobs may also be sent back and forth
+// between them.
 func TestTwoCordonedDomains(t *testing.T) {
 	is := is.New(t)
 	const span = 4 * time.Second
-	set := Users(60)
+	set := UserSetup(60)
 	set.Faults = []Fault{
-		{At: hit, Do: func(g *Grid) { g.Cordon("fd-a", inForce, span) }},
-		{At: hit + time.Second, Do: func(g *Grid) { g.Cordon("fd-c", inForce, span) }},
+		{At: faultAt, Do: func(g *Grid) { g.Cordon("fd-a", cordonDelay, span) }},
+		{At: faultAt + time.Second, Do: func(g *Grid) { g.Cordon("fd-c", cordonDelay, span) }},
 	}
-	g := play(t, set)
-	report(t, g, hit, hit+span+time.Second)
-	is.True(g.Counts(every, hit, hit+span).Share() >= 0.93)
+	g := simulate(t, set)
+	logPerKind(t, g, faultAt, faultAt+span+time.Second)
+	is.True(g.Counts(allKinds, faultAt, faultAt+span).Share() >= 0.93)
 }
 
-// Symptom: tasks start in a cordoned domain after a loss of all VMs. Sequence: a domain is
-// cordoned, then all VMs are killed and start again. Cause: endpoints are owned before what
-// operators declare is known.
-func TestCordonOutlivesTheLossOfAllVMs(t *testing.T) {
+// Guards against tasks that start in a cordoned domain after all VMs were killed and restarted,
+// because endpoints are owned before the cordon is known.
+func TestCordonSurvivesLossOfAllVMs(t *testing.T) {
 	is := is.New(t)
 	const down = time.Second
-	set := Users(80)
+	set := UserSetup(80)
 	set.Faults = []Fault{
-		{At: hit - time.Second, Do: func(g *Grid) { g.Cordon("fd-b", inForce, 8*time.Second) }},
-		{At: hit, Do: func(g *Grid) { g.KillAll(down) }},
+		{At: faultAt - time.Second, Do: func(g *Grid) { g.Cordon("fd-b", cordonDelay, 8*time.Second) }},
+		{At: faultAt, Do: func(g *Grid) { g.KillAll(down) }},
 	}
-	g := play(t, set)
-	report(t, g, hit, hit+7*time.Second)
-	is.True(g.Counts(every, hit+down+1500*time.Millisecond, hit+7*time.Second).Share() >= 0.93)
+	g := simulate(t, set)
+	logPerKind(t, g, faultAt, faultAt+7*time.Second)
+	is.True(g.Counts(allKinds, faultAt+down+1500*time.Millisecond, faultAt+7*time.Second).Share() >= 0.93)
 }
 
-// Symptom: one VM still starts tasks in a cordoned domain seconds later. Sequence: the store turns
-// the domain's reader away, then the domain is cordoned. Cause: it hears of the store only, not of
-// its neighbours. A second of patience with the reader is allowed for.
-func TestCordonIsHeardOfNeighbours(t *testing.T) {
+// Guards against one VM that starts tasks in a cordoned domain for seconds, because it learns of
+// cordons only from the store and not from its neighbours. The store rejects the domain's reader,
+// then the domain is cordoned. One second to replace the reader is allowed.
+func TestCordonIsLearnedFromNeighbours(t *testing.T) {
 	for _, vm := range []int{1, 5} { // both of the domain: one of them reads
-		set := Users(80)
+		set := UserSetup(80)
 		set.Faults = []Fault{
-			{At: hit - 2*time.Second, Do: func(g *Grid) { g.Turn(g.VM(vm), true) }},
-			{At: hit, Do: func(g *Grid) { g.Cordon("fd-b", time.Second+inForce, 5*time.Second) }},
+			{At: faultAt - 2*time.Second, Do: func(g *Grid) { g.RejectVM(g.VM(vm), true) }},
+			{At: faultAt, Do: func(g *Grid) { g.Cordon("fd-b", time.Second+cordonDelay, 5*time.Second) }},
 		}
-		play(t, set)
+		simulate(t, set)
 	}
 }
--- a/internal/tool/grid/crash_test.go
+++ b/internal/tool/grid/crash_test.go
@@ -11,18 +11,19 @@
 )
 
 const (
-	flaps   = 3 // waves of endpoints that go down and up
-	flapGap = 2 * time.Second
+	flapWaves = 3 // times that endpoints go down and up
+	flapGap   = 2 * time.Second
 )
 
-// flap takes a quarter of the endpoints down in one moment, several times; others come up at their addresses.
-func flap(quarter func(n int) int) func(*Grid) {
+// crashRepeatedly crashes a quarter of the endpoints at once, several times; new endpoints replace
+// them.
+func crashRepeatedly(quarter func(n int) int) func(*Grid) {
 	return func(g *Grid) {
-		for wave := range flaps {
+		for wave := range flapWaves {
 			for n := range g.Endpoints {
 				if e := g.Endpoint(n); quarter(n) == wave && e.Crash() {
 					e.Set(fakes.Manners{Mute: true})
-					g.reborn(e)
+					g.replaceEndpoint(e)
 				}
 			}
 			time.Sleep(flapGap)
@@ -30,14 +31,14 @@
 	}
 }
 
-// blink silences a quarter of the endpoints of all failure domains in one moment, several times the same. They are
-// the same lives when they answer again.
-func blink(g *Grid) {
-	const silent = 1400 * time.Millisecond // until leases have run out
-	for range flaps {
+// muteRepeatedly mutes a quarter of the endpoints of all failure domains at once, the same ones
+// several times. They are the same incarnations when they answer again.
+func muteRepeatedly(g *Grid) {
+	const silent = 1400 * time.Millisecond // until leases have expired
+	for range flapWaves {
 		for _, m := range []fakes.Manners{{Mute: true}, {}} {
 			for n := range g.Endpoints {
-				if ofAll(n) == 0 {
+				if acrossDomains(n) == 0 {
 					g.Endpoint(n).Set(m)
 				}
 			}
@@ -49,45 +50,47 @@
 	}
 }
 
-// Endpoints of the grid take turns among its four failure domains.
-func byDomain(n int) int { return n % 4 }
-func ofAll(n int) int    { return n / 4 % 4 }
-func ofThree(n int) int  { return (n + n/4) % 4 }
-func flappings() map[string]func(*Grid) {
+// Endpoints are assigned to the four failure domains in turn.
+func byDomain(n int) int      { return n % 4 }
+func acrossDomains(n int) int { return n / 4 % 4 }
+func shiftedAcross(n int) int { return (n + n/4) % 4 }
+func flapCases() map[string]func(*Grid) {
 	return map[string]func(*Grid){
-		"a failure domain": flap(byDomain), "some of all domains": flap(ofAll), "others of all domains": flap(ofThree), "the same again": blink,
+		"a failure domain": crashRepeatedly(byDomain), "some of all domains": crashRepeatedly(acrossDomains), "others of all domains": crashRepeatedly(shiftedAcross), "the same again": muteRepeatedly,
 	}
 }
 
-// Guards against tasks that are suspected, or given up, since their endpoints went down together with others.
-func TestEndpointsThatFlapCastNoSuspicion(t *testing.T) {
-	for name, flapping := range flappings() {
+// Guards against tasks that are suspected of crashing endpoints, or given up, when their endpoints
+// go down together with others.
+func TestFlappingEndpointsCauseNoSuspicion(t *testing.T) {
+	for name, flapping := range flapCases() {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			for seed := range uint64(plays) {
-				suspected := &moments{words: []string{`msg="task suspected"`}}
-				set := faulty(flapping)
+			for seed := range uint64(numSeeds) {
+				suspected := &logTimes{words: []string{`msg="task suspected"`}}
+				set := withFault(flapping)
 				set.Seed, set.Log = seed+1, suspected
-				g := play(t, set)
-				t.Logf("seed %d: %+v", seed+1, g.Counts(every, hit, hit+flaps*flapGap))
+				g := simulate(t, set)
+				t.Logf("seed %d: %+v", seed+1, g.Counts(allKinds, faultAt, faultAt+flapWaves*flapGap))
 				is.Equal(len(suspected.at), 0)
 			}
 		})
 	}
 }
 
-// Guards against tasks that crash endpoints and are excused for as long as other endpoints come and go.
-func TestTasksThatCrashEndpointsAreStoppedWhileOthersFlap(t *testing.T) {
-	for name, flapping := range flappings() {
+// Guards against tasks that crash endpoints and are not suspected as long as other endpoints go
+// down and up.
+func TestCrashingTasksAreStoppedWhileEndpointsFlap(t *testing.T) {
+	for name, flapping := range flapCases() {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			for seed := range uint64(plays) {
-				set := Users(80)
-				set.Guilty, set.Insist, set.Seed = 1.0/100, 3, seed+1
-				set.Faults = []Fault{{At: hit, Do: flapping}}
-				g := play(t, set)
+			for seed := range uint64(numSeeds) {
+				set := UserSetup(80)
+				set.CrashShare, set.UnknownRetries, set.Seed = 1.0/100, 3, seed+1
+				set.Faults = []Fault{{At: faultAt, Do: flapping}}
+				g := simulate(t, set)
 				failed := 0
-				for r := range g.sent(every, 0, time.Hour) {
+				for r := range g.submitted(allKinds, 0, time.Hour) {
 					if r.Answer.Outcome == job.Failed {
 						failed++
 					}
@@ -95,57 +98,57 @@
 				all, most := g.Judge.Crashes()
 				t.Logf("seed %d: %d endpoints crashed by tasks, by one at most %d", seed+1, all, most)
 				is.Equal(failed, 0)
-				is.True(most <= 5) // the users' bound: three crashes, and then not three starts more
+				is.True(most <= 5) // the users' bound: three crashes, and then fewer than three more starts
 			}
 		})
 	}
 }
 
-// Symptom: endpoints are lost one after the other, and jobs with them. Sequence: one job in 200 has a
-// task that crashes each endpoint that starts it; endpoints are back after two seconds. Cause: such a
-// task is started again and again, beside others; or those others are given up as well.
-func TestTasksThatCrashEndpointsTakeFewWithThem(t *testing.T) {
+// Guards against endpoints lost one after the other, and jobs with them: one job in 200 has a task
+// that crashes each endpoint that starts it, and endpoints are back after two seconds. Such a task
+// was restarted again and again beside others, or those others were given up too.
+func TestCrashingTasksCostFewEndpoints(t *testing.T) {
 	is := is.New(t)
-	set := Users(80)
-	set.Guilty, set.Span = 1.0/200, 15*time.Second
-	g := play(t, set)
-	report(t, g, set.Warm, set.Warm+set.Span)
-	var innocent Count
-	givenUp, blamed := 0, 0
-	for r := range g.sent(every, 0, time.Hour) {
+	set := UserSetup(80)
+	set.CrashShare, set.Span = 1.0/200, 15*time.Second
+	g := simulate(t, set)
+	logPerKind(t, g, set.Warmup, set.Warmup+set.Span)
+	var others Count
+	givenUp, crashing := 0, 0
+	for r := range g.submitted(allKinds, 0, time.Hour) {
 		switch {
-		case g.Judge.Blamed(r.ID):
-			blamed++
+		case g.Judge.IsCrashing(r.ID):
+			crashing++
 		case r.Answer.Outcome == job.Failed: // no task fails here
 			givenUp++
 		default:
-			innocent.note(r)
+			others.addResult(r)
 		}
 	}
 	all, most := g.Judge.Crashes()
-	t.Logf("%d guilty jobs crashed %d endpoints, one at most %d; %d innocent given up, %.3f in aim", blamed, all, most, givenUp, innocent.Share())
+	t.Logf("%d crashing jobs crashed %d endpoints, one at most %d; %d others given up, %.3f in time", crashing, all, most, givenUp, others.Share())
 	is.Equal(givenUp, 0)
-	is.True(most <= 5)       // the users' bound: three crashes, and then not three starts more
-	is.True(all <= 3*blamed) // two for each, and some more beside another guilty job
-	// A crash takes two or three tasks with it; without crashes 0.97 and more are in aim.
-	is.True(innocent.Share() >= 0.93)
+	is.True(most <= 5)         // the users' bound: three crashes, and then fewer than three more starts
+	is.True(all <= 3*crashing) // two for each, and a few more beside another crashing job
+	// A crash takes two or three tasks with it; without crashes 0.97 and more are in time.
+	is.True(others.Share() >= 0.93)
 }
 
-// What happens: a task crashes two endpoints, its job ends as unknown, and its caller submits it again
-// elsewhere, where it crashes two more each time. Why: which tasks are suspected is known to the owner that
-// lost the endpoints alone. What showed it: "task suspected ... lost=1" at owner after owner for one task.
-func TestTasksThatCrashEndpointsAreKnownToAllOwners(t *testing.T) {
+// Guards against a task that crashes two endpoints, ends as unknown, is resubmitted elsewhere and
+// crashes two more each time, because only the owner that lost the endpoints knew the suspected
+// task. The log had "task suspected ... lost=1" at one owner after the other for one task.
+func TestCrashingTasksAreKnownToAllOwners(t *testing.T) {
 	is := is.New(t)
-	set := Users(80)
-	set.Guilty, set.Span, set.Insist = 1.0/400, 10*time.Second, 3
-	g := play(t, set)
-	blamed := 0
-	for r := range g.sent(every, 0, time.Hour) {
-		if g.Judge.Blamed(r.ID) {
-			blamed++
+	set := UserSetup(80)
+	set.CrashShare, set.Span, set.UnknownRetries = 1.0/400, 10*time.Second, 3
+	g := simulate(t, set)
+	crashing := 0
+	for r := range g.submitted(allKinds, 0, time.Hour) {
+		if g.Judge.IsCrashing(r.ID) {
+			crashing++
 		}
 	}
 	all, most := g.Judge.Crashes()
-	t.Logf("%d guilty jobs, submitted up to four times, crashed %d endpoints, one at most %d", blamed, all, most)
-	is.True(most <= 5) // the users' bound: three crashes, and then not three starts more
+	t.Logf("%d crashing jobs, submitted up to four times, crashed %d endpoints, one at most %d", crashing, all, most)
+	is.True(most <= 5) // the users' bound: three crashes, and then fewer than three more starts
 }
--- a/internal/tool/grid/fault.go
+++ b/internal/tool/grid/fault.go
@@ -10,14 +10,14 @@
 	"dahliawinch/internal/plat/fakes"
 )
 
-// entry makes one kind of fault of its own randomness.
-type entry struct {
+// faultKind draws faults of one kind.
+type faultKind struct {
 	name string
-	make func(r *rand.Rand) func(*Grid)
+	draw func(r *rand.Rand) func(*Grid)
 }
 
-// menu is what may go wrong at any moment, together or twice.
-var menu = []entry{
+// faultKinds are the faults that may strike at any moment, also together or repeatedly.
+var faultKinds = []faultKind{
 	{"kill", func(r *rand.Rand) func(*Grid) {
 		n, down := r.IntN(8), time.Duration(r.IntN(3000))*time.Millisecond
 		return func(g *Grid) {
@@ -72,11 +72,11 @@
 		d := time.Duration(300+r.IntN(6000)) * time.Millisecond
 		return func(g *Grid) {
 			for i := range g.Domains {
-				g.Away(domainName(i), true)
+				g.CutStore(domainName(i), true)
 			}
 			time.Sleep(d)
 			for i := range g.Domains {
-				g.Away(domainName(i), false)
+				g.CutStore(domainName(i), false)
 			}
 		}
 	}},
@@ -84,7 +84,7 @@
 		return func(g *Grid) {
 			g.Plans.Compact()
 			g.Roster.Compact()
-			g.Named.Compact()
+			g.Registry.Compact()
 		}
 	}},
 	{"endpoint crashes", func(r *rand.Rand) func(*Grid) {
@@ -113,8 +113,8 @@
 		}
 	}},
 	{"cordon", func(r *rand.Rand) func(*Grid) {
-		d, span := r.IntN(4), cordonLate+time.Duration(r.IntN(4000))*time.Millisecond
-		return func(g *Grid) { g.Cordon(domainName(d), cordonLate, span) }
+		d, span := r.IntN(4), cordonWithin+time.Duration(r.IntN(4000))*time.Millisecond
+		return func(g *Grid) { g.Cordon(domainName(d), cordonWithin, span) }
 	}},
 	{"endpoint leaves", func(r *rand.Rand) func(*Grid) {
 		n := r.IntN(48)
@@ -130,12 +130,12 @@
 	}},
 }
 
-// slowMenu is what may go wrong on deployments whose links are bounded: VMs that are late before they are lost.
-var slowMenu = []entry{
-	{"narrow", func(r *rand.Rand) func(*Grid) { return narrowing(r, func(*Grid, *VM) {}) }},
+// linkFaults are faults of deployments with bounded links: VMs become late before they are lost.
+var linkFaults = []faultKind{
+	{"narrow", func(r *rand.Rand) func(*Grid) { return slowLink(r, func(*Grid, *VM) {}) }},
 	{"narrow and kill", func(r *rand.Rand) func(*Grid) {
 		down := time.Duration(r.IntN(3000)) * time.Millisecond
-		return narrowing(r, func(g *Grid, v *VM) {
+		return slowLink(r, func(g *Grid, v *VM) {
 			if !v.dead.Load() {
 				g.Restart(v, down)
 			}
@@ -143,32 +143,32 @@
 	}},
 	{"narrow and pause", func(r *rand.Rand) func(*Grid) {
 		d := time.Duration(300+r.IntN(3000)) * time.Millisecond
-		return narrowing(r, func(g *Grid, v *VM) { g.Pause(v, d) })
+		return slowLink(r, func(g *Grid, v *VM) { g.Pause(v, d) })
 	}},
 }
 
-// narrowing lets a VM's link carry 5 to 1,000 times less for a while, and does something to the VM meanwhile.
-func narrowing(r *rand.Rand, then func(*Grid, *VM)) func(*Grid) {
+// slowLink makes a VM's link 5 to 1,000 times slower for a while and calls then meanwhile.
+func slowLink(r *rand.Rand, then func(*Grid, *VM)) func(*Grid) {
 	n, times := r.IntN(8), int(5*math.Pow(200, r.Float64()))
 	before, after := time.Duration(r.IntN(2500))*time.Millisecond, time.Duration(500+r.IntN(2000))*time.Millisecond
 	return func(g *Grid) {
 		v := g.VM(n)
-		v.up.narrow(times)
+		v.uplink.slowDown(times)
 		time.Sleep(before)
 		then(g, v)
 		time.Sleep(after)
-		v.up.widen(g.Link)
+		v.uplink.setRate(g.LinkRate)
 	}
 }
 
-// cordonLate is when a cordon is in force everywhere whatever else goes wrong: the store may be away
-// for six seconds, a VM paused for five.
-const cordonLate = 9 * time.Second
+// cordonWithin is the time until a cordon is in force everywhere, whatever other faults strike: the
+// store may be away for six seconds, a VM paused for five.
+const cordonWithin = 9 * time.Second
 
 // bootSpread is the time over which VMs get power again after a loss of all.
 const bootSpread = 480 * time.Millisecond
 
-// KillAll kills every VM at once and starts them again, some tenths of a second apart.
+// KillAll kills every VM at once and starts them again, spread over bootSpread.
 func (g *Grid) KillAll(down time.Duration) {
 	vms := make([]*VM, 0, g.VMs)
 	for i := range g.VMs {
@@ -184,26 +184,26 @@
 	}
 }
 
-// Random draws a sequence of faults from a seed; the names tell what it was.
-func Random(seed uint64, span time.Duration) (faults []Fault, names string) {
+// RandomFaults draws a sequence of faults from a seed; names describes it.
+func RandomFaults(seed uint64, span time.Duration) (faults []Fault, names string) {
 	r := rand.New(rand.NewPCG(seed, 4242))
-	return drawn(r, menu, 2+r.IntN(4), span)
+	return drawFaults(r, faultKinds, 2+r.IntN(4), span)
 }
 
-// RandomSlow draws what Random does and some faults of links.
-func RandomSlow(seed uint64, span time.Duration) (faults []Fault, names string) {
-	faults, names = Random(seed, span)
+// RandomLinkFaults adds faults of links to those of RandomFaults.
+func RandomLinkFaults(seed uint64, span time.Duration) (faults []Fault, names string) {
+	faults, names = RandomFaults(seed, span)
 	r := rand.New(rand.NewPCG(seed, 4243))
-	slow, more := drawn(r, slowMenu, 1+r.IntN(4), span)
+	slow, more := drawFaults(r, linkFaults, 1+r.IntN(4), span)
 	return append(faults, slow...), names + more
 }
 
-func drawn(r *rand.Rand, from []entry, n int, span time.Duration) (faults []Fault, names string) {
+func drawFaults(r *rand.Rand, from []faultKind, n int, span time.Duration) (faults []Fault, names string) {
 	var b strings.Builder
 	for range n {
 		m := from[r.IntN(len(from))]
 		at := 2*time.Second + time.Duration(r.Int64N(int64(span)))
-		faults = append(faults, Fault{At: at, Do: m.make(r)})
+		faults = append(faults, Fault{At: at, Do: m.draw(r)})
 		fmt.Fprintf(&b, "%s at %s; ", m.name, at.Round(time.Millisecond))
 	}
 	return faults, b.String()
--- a/internal/tool/grid/fault_test.go
+++ b/internal/tool/grid/fault_test.go
@@ -14,12 +14,12 @@
 	"dahliawinch/internal/task/job"
 )
 
-const hit = 5 * time.Second // when the fault strikes
+const faultAt = 5 * time.Second // when the fault strikes
 
-// faulty is the usual load with one fault.
-func faulty(do func(*Grid)) Setup {
-	set := Users(110)
-	set.Faults = []Fault{{At: hit, Do: do}}
+// withFault is the usual load with one fault.
+func withFault(do func(*Grid)) Setup {
+	set := UserSetup(110)
+	set.Faults = []Fault{{At: faultAt, Do: do}}
 	return set
 }
 
@@ -32,129 +32,127 @@
 	}
 }
 
-// Symptom: for seconds after one VM dies a quarter of all jobs fail. Sequence: the owner
-// of a failure domain's endpoints is killed. Cause: nobody takes its endpoints over.
+// Guards against a quarter of all jobs failing for seconds after one VM dies: the owner of a
+// failure domain's endpoints is killed and no VM takes them over.
 func TestOwnerKilled(t *testing.T) {
 	is := is.New(t)
-	g := play(t, faulty(func(g *Grid) { g.Kill(g.Owner("fd-b")) }))
-	report(t, g, hit-time.Second, hit+2*time.Second)
-	is.True(g.Counts(every, hit-time.Second, hit+2*time.Second).Share() >= 0.85)
-	is.True(g.Counts(every, hit+2*time.Second, hit+8*time.Second).Share() >= 0.97)
+	g := simulate(t, withFault(func(g *Grid) { g.Kill(g.Owner("fd-b")) }))
+	logPerKind(t, g, faultAt-time.Second, faultAt+2*time.Second)
+	is.True(g.Counts(allKinds, faultAt-time.Second, faultAt+2*time.Second).Share() >= 0.85)
+	is.True(g.Counts(allKinds, faultAt+2*time.Second, faultAt+8*time.Second).Share() >= 0.97)
 	is.True(g.Owner("fd-b") == nil) // all VMs have ended by now
 }
 
-// Symptom: a task runs twice at the same time. Sequence: an owner stands still for four
-// seconds, another takes its endpoints over, and the first goes on where it was. Cause:
-// orders and renewals that were decided before the pause are still given.
+// Guards against a task that runs twice at a time: an owner is paused for four seconds, another VM
+// takes its endpoints over, and the first one resumes and sends orders and renewals that it decided
+// on before the pause.
 func TestOwnerPaused(t *testing.T) {
 	is := is.New(t)
-	g := play(t, faulty(func(g *Grid) { g.Pause(g.Owner("fd-a"), 4*time.Second) }))
-	report(t, g, hit-time.Second, hit+5*time.Second)
-	is.True(g.Counts(every, hit+6*time.Second, hit+10*time.Second).Share() >= 0.95)
+	g := simulate(t, withFault(func(g *Grid) { g.Pause(g.Owner("fd-a"), 4*time.Second) }))
+	logPerKind(t, g, faultAt-time.Second, faultAt+5*time.Second)
+	is.True(g.Counts(allKinds, faultAt+6*time.Second, faultAt+10*time.Second).Share() >= 0.95)
 }
 
-// Symptom: after a power loss of all VMs jobs are refused for seconds. Sequence: all VMs
-// are killed and start again within half a second of each other. Cause: each watches for
-// owners for long, and two of one domain claim the same endpoints one after the other.
-// Claims 0.4 s after a start instead of 1 s, jobs that wait for them: 0.859 to 0.883 of a
-// day's worth.
+// Guards against jobs refused for seconds after all VMs were killed and restarted within half a
+// second of each other: each looked for existing owners for long, and two VMs of a domain claimed
+// the same endpoints one after the other. With claims 0.4 s after a start instead of 1 s, and jobs
+// that wait for them, a day earned 0.883 of its worth instead of 0.859.
 func TestAllKilledAtOnce(t *testing.T) {
 	is := is.New(t)
 	const down = time.Second
-	g := play(t, faulty(func(g *Grid) { g.KillAll(down) }))
-	report(t, g, hit, hit+down+2*time.Second)
-	is.True(g.Counts(every, hit+down+1500*time.Millisecond, hit+10*time.Second).Share() >= 0.95)
+	g := simulate(t, withFault(func(g *Grid) { g.KillAll(down) }))
+	logPerKind(t, g, faultAt, faultAt+down+2*time.Second)
+	is.True(g.Counts(allKinds, faultAt+down+1500*time.Millisecond, faultAt+10*time.Second).Share() >= 0.95)
 }
 
-// Symptom: after a power loss of all VMs two thirds of the callers that come for the first time
-// are refused or answered late. Sequence: all VMs lose power for 1.2 s at the usual load; whoever
-// came meanwhile comes again 1.3 s later, so that twice the usual load meets VMs that have just
-// started, some of whose neighbours have no power yet. Cause: jobs that can't meet their
-// objective any more take places, and the first VMs wait a second for the others: 0.74 of them
-// were in aim.
+// Guards against new callers refused or answered late after a power loss of all VMs. All VMs are
+// down for 1.2 s at the usual load, and callers of that time come again 1.3 s later, so that VMs
+// that have just started, some with neighbours still down, get twice the usual load. Jobs that
+// could no longer meet their objective took capacity, and the first VMs waited a second for the
+// others: 0.74 of the new callers were served in time.
 func TestFreshCallersAreServedAfterALossOfAll(t *testing.T) {
 	is := is.New(t)
 	const down = 1200 * time.Millisecond
 	var fresh Count
-	for seed := range uint64(plays) {
-		set := Users(130)
-		set.Seed, set.Again = seed+1, true
-		set.Faults = []Fault{{At: hit, Do: func(g *Grid) { g.KillAll(down) }}}
-		g := play(t, set)
-		from := hit + down + 200*time.Millisecond
-		fresh.Add(g.Counts(every, from, from+1300*time.Millisecond))
+	for seed := range uint64(numSeeds) {
+		set := UserSetup(130)
+		set.Seed, set.Resubmit = seed+1, true
+		set.Faults = []Fault{{At: faultAt, Do: func(g *Grid) { g.KillAll(down) }}}
+		g := simulate(t, set)
+		from := faultAt + down + 200*time.Millisecond
+		fresh.Add(g.Counts(allKinds, from, from+1300*time.Millisecond))
 	}
-	t.Logf("%.3f in aim of %+v", fresh.Share(), fresh)
+	t.Logf("%.3f in time of %+v", fresh.Share(), fresh)
 	is.True(fresh.Share() >= 0.84) // 0.88 measured
 }
 
-// Symptom: callers are cut off by a planned replacement. Sequence: all VMs leave and
-// start again, one after the other. Cause: endpoints are dropped with what runs there, or
-// jobs of a VM that left are forgotten.
+// Guards against callers cut off by a planned replacement, in which all VMs leave and restart one
+// after the other: endpoints were dropped with the tasks that run there, or jobs of a VM that left
+// were lost.
 func TestRollingReplacement(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	set := Users(110)
+	set := UserSetup(110)
 	set.Span = 30 * time.Second
 	for i := range set.VMs {
-		set.Faults = append(set.Faults, Fault{At: hit + time.Duration(i)*2*time.Second, Do: func(g *Grid) { g.Drain(g.VM(i), true) }})
+		set.Faults = append(set.Faults, Fault{At: faultAt + time.Duration(i)*2*time.Second, Do: func(g *Grid) { g.Drain(g.VM(i), true) }})
 	}
-	g := play(t, set)
-	report(t, g, hit, hit+25*time.Second)
-	c := g.Counts(every, hit, hit+25*time.Second)
+	g := simulate(t, set)
+	logPerKind(t, g, faultAt, faultAt+25*time.Second)
+	c := g.Counts(allKinds, faultAt, faultAt+25*time.Second)
 	is.True(c.Failed <= c.Asked/200)
 	is.True(c.Share() >= 0.93)
 }
 
-// Symptom: a failure domain that is cut off serves nobody, or both sides run the same
-// task. Sequence: a domain loses the others and the store for six seconds. Cause: its
-// endpoints' owner is on the other side, or doesn't go on without the store.
+// Guards against a failure domain that serves no jobs, or both sides running the same task, when it
+// loses the other domains and the store for six seconds: the owner of its endpoints was on the
+// other side, or stopped without the store.
 func TestDomainCutOff(t *testing.T) {
 	is := is.New(t)
 	const span = 6 * time.Second
-	g := play(t, faulty(cutOff(span)))
-	report(t, g, hit, hit+span)
-	is.True(g.Counts(every, hit+2*time.Second, hit+span).Share() >= 0.9)
-	is.True(g.Counts(every, hit+span+3*time.Second, hit+10*time.Second).Share() >= 0.95)
+	g := simulate(t, withFault(cutOff(span)))
+	logPerKind(t, g, faultAt, faultAt+span)
+	is.True(g.Counts(allKinds, faultAt+2*time.Second, faultAt+span).Share() >= 0.9)
+	is.True(g.Counts(allKinds, faultAt+span+3*time.Second, faultAt+10*time.Second).Share() >= 0.95)
 }
 
-// Symptom: when a partition heals, jobs fail on both sides. Sequence: each side has
-// claimed the other's endpoints, which it could not reach; with the heal its orders arrive
-// there, with a higher fence than that of the owner that served all the while. Cause: a
-// VM claims what it can't reach, or what it reaches before links to its owner can be up.
-func TestHealedPartitionTakesNothingAway(t *testing.T) {
+// Guards against jobs that fail on both sides when a partition heals. Each side had claimed
+// endpoints of the other that it could not reach; after the heal its orders arrived there with a
+// higher fence than that of the owner that had served all along. A VM must not claim endpoints that
+// it can't reach, nor claim them before links to their owner can be up again.
+func TestHealedPartitionMovesNoEndpoints(t *testing.T) {
 	is := is.New(t)
 	const span = 5 * time.Second
-	g := play(t, faulty(cutOff(span)))
-	report(t, g, hit+span-time.Second, hit+span+1500*time.Millisecond)
-	is.True(g.Counts(every, hit+span-time.Second, hit+span+1500*time.Millisecond).Failed == 0)
+	g := simulate(t, withFault(cutOff(span)))
+	logPerKind(t, g, faultAt+span-time.Second, faultAt+span+1500*time.Millisecond)
+	is.True(g.Counts(allKinds, faultAt+span-time.Second, faultAt+span+1500*time.Millisecond).Failed == 0)
 }
 
-// Symptom: jobs fail while the store is away. Sequence: no VM reaches the store for five
-// seconds. Cause: what was known is dropped.
+// Guards against jobs that fail while no VM reaches the store for five seconds, because known
+// records are dropped.
 func TestStoreAway(t *testing.T) {
 	is := is.New(t)
-	g := play(t, faulty(func(g *Grid) {
+	g := simulate(t, withFault(func(g *Grid) {
 		for i := range g.Domains {
-			g.Away(domainName(i), true)
+			g.CutStore(domainName(i), true)
 		}
 		time.Sleep(5 * time.Second)
 		for i := range g.Domains {
-			g.Away(domainName(i), false)
+			g.CutStore(domainName(i), false)
 		}
 	}))
-	is.True(g.Counts(every, hit, hit+8*time.Second).Share() >= 0.98)
+	is.True(g.Counts(allKinds, faultAt, faultAt+8*time.Second).Share() >= 0.98)
 }
 
-// Symptom: a VM that starts while the store is away refuses its callers until the store is
-// back. Sequence: the store is lost for six seconds; a second later a VM is restarted.
-// Cause: it learns of the configuration and the endpoints from the store alone.
+// Guards against a VM that starts while the store is away and refuses its callers until the store
+// is back. The store is away for six seconds and a VM is restarted one second later; it must learn
+// the configuration and the endpoints from other VMs.
 func TestStartWhileTheStoreIsAway(t *testing.T) {
 	is := is.New(t)
 	ready, knows := false, false
-	g := play(t, faulty(func(g *Grid) {
+	g := simulate(t, withFault(func(g *Grid) {
 		for i := range g.Domains {
-			g.Away(domainName(i), true)
+			g.CutStore(domainName(i), true)
 		}
 		time.Sleep(time.Second)
 		v := g.VM(0)
@@ -164,38 +162,37 @@
 		ready, knows = v.Node.Ready(), g.Owner(v.Domain) != nil
 		time.Sleep(3 * time.Second)
 		for i := range g.Domains {
-			g.Away(domainName(i), false)
+			g.CutStore(domainName(i), false)
 		}
 	}))
 	is.True(ready && knows)
-	is.True(g.Counts(every, hit+3*time.Second, hit+6*time.Second).Share() >= 0.97)
+	is.True(g.Counts(allKinds, faultAt+3*time.Second, faultAt+6*time.Second).Share() >= 0.97)
 }
 
-// Symptom: short jobs are late while a few orders are lost, and nothing is served while
-// many are. Sequence: endpoints leave a share of the orders unanswered and carry them out
-// seconds later. Cause: an order is waited for far longer than an answer takes, and then
-// its task is held back until it is sure that nothing runs; ends go unnoticed with the
-// renewal that was lost; endpoints are taken for bad. An order that is repeated after 25
-// ms with the same number, and shorter renewals after a loss: 0.78 to 0.99 of the jobs in
-// aim with one order in eighteen lost, 0.01 to 0.57 with one in two.
+// Guards against late jobs when endpoints leave a share of the orders unanswered and carry them out
+// seconds later. An order was waited for far longer than an answer takes, and its task was then
+// held back until it was certain that nothing runs; ends went unnoticed with lost renewals;
+// endpoints were marked as bad. With orders repeated after 25 ms under the same number, and shorter
+// renewals after a loss, the share of jobs in time went from 0.78 to 0.99 with one order in
+// eighteen lost, and from 0.01 to 0.57 with one in two.
 func TestOrdersCarriedOutLate(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ lost, share float64 }{{0.055, 0.96}, {0.5, 0.5}} {
 		t.Run(fmt.Sprint(c.lost), func(t *testing.T) {
 			is := is.New(t)
-			g := play(t, faulty(func(g *Grid) {
+			g := simulate(t, withFault(func(g *Grid) {
 				for i := range g.Endpoints {
 					g.Endpoint(i).Set(fakes.Manners{Late: c.lost, Delay: 3 * time.Second})
 				}
 			}))
-			report(t, g, hit, hit+8*time.Second)
-			is.True(g.Counts(every, hit, hit+8*time.Second).Share() >= c.share)
+			logPerKind(t, g, faultAt, faultAt+8*time.Second)
+			is.True(g.Counts(allKinds, faultAt, faultAt+8*time.Second).Share() >= c.share)
 		})
 	}
 }
 
-// Symptom: a few bad endpoints fail a large part of all jobs. Sequence: five of 48
-// misbehave for six seconds. Cause: they are free most often and draw the most work.
+// Guards against a few bad endpoints that fail a large part of all jobs: five of 48 misbehave for
+// six seconds, and since they are free most often they attract the most work.
 func TestBadEndpoints(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -206,12 +203,12 @@
 		{"fail", fakes.Manners{Fail: true}, 0.93},
 		{"hang", fakes.Manners{Hang: true}, 0.9},
 		{"mute", fakes.Manners{Mute: true}, 0.93},
-		{"slow", fakes.Manners{Slow: 7}, 0.91}, // earned 0.91 where fifteen runs tell a straggler, 0.94 with four
+		{"slow", fakes.Manners{Slow: 7}, 0.91}, // earned 0.91 if fifteen runs detect a straggler, 0.94 if four do
 		{"ill", fakes.Manners{Ill: true}, 0.95},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			g := play(t, faulty(func(g *Grid) {
+			g := simulate(t, withFault(func(g *Grid) {
 				for i := range 5 {
 					g.Endpoint(9 * i).Set(c.manners)
 				}
@@ -220,22 +217,22 @@
 					g.Endpoint(9 * i).Set(fakes.Manners{})
 				}
 			}))
-			report(t, g, hit, hit+6*time.Second)
-			is.True(g.Counts(every, hit, hit+6*time.Second).Share() >= c.share)
+			logPerKind(t, g, faultAt, faultAt+6*time.Second)
+			is.True(g.Counts(allKinds, faultAt, faultAt+6*time.Second).Share() >= c.share)
 		})
 	}
 }
 
-// Symptom: one job in twelve is late while a rack of endpoints is slow, though the others have
-// room. Sequence: eight of 48 take 6.5 times as long for five seconds. Cause: they are known by
-// runs that have ended, which takes a second and more, and are given work meanwhile.
+// Guards against one job in twelve being late while a rack of endpoints is slow though the others
+// have room: eight of 48 take 6.5 times as long for five seconds. They were detected only by runs
+// that had ended, which takes a second or more, and got work meanwhile.
 func TestSlowEndpointsAreKnownByRunsThatGoOn(t *testing.T) {
 	is := is.New(t)
 	const span = 5 * time.Second
 	var all Count
 	earned := 0.0
-	for seed := range uint64(plays) {
-		set := faulty(func(g *Grid) {
+	for seed := range uint64(numSeeds) {
+		set := withFault(func(g *Grid) {
 			for i := range 8 {
 				g.Endpoint(6 * i).Set(fakes.Manners{Slow: 6.5})
 			}
@@ -245,22 +242,22 @@
 			}
 		})
 		set.Seed = seed + 1
-		g := play(t, set)
-		all.Add(g.Counts(every, hit, hit+span))
-		earned += g.Earned(hit, hit+span) / plays
+		g := simulate(t, set)
+		all.Add(g.Counts(allKinds, faultAt, faultAt+span))
+		earned += g.Earned(faultAt, faultAt+span) / numSeeds
 	}
-	t.Logf("earned %.3f, in aim %.3f of %+v", earned, all.Share(), all)
+	t.Logf("earned %.3f, in time %.3f of %+v", earned, all.Share(), all)
 	is.True(earned >= 0.9)
 }
 
-// Symptom: tasks of jobs that nobody asks for any more run on for seconds. Sequence: orders are
-// carried out three seconds late, and the VMs that gave them are removed for good meanwhile.
-// Cause: a start that is carried out late is still good, or a lease outlives the VM that renews it.
-func TestNothingRunsOnForVMsThatAreRemoved(t *testing.T) {
+// Guards against tasks that run on for seconds though no caller waits for them: orders are carried
+// out three seconds late, and the VMs that sent them are removed for good meanwhile. A late start
+// must not be accepted, and no lease may outlive the VM that renews it.
+func TestNothingRunsOnAfterVMsAreRemoved(t *testing.T) {
 	is := is.New(t)
-	gone := Limits.Hold + Limits.Stop
+	leaseEnd := Limits.Hold + Limits.Stop
 	var running []int
-	set := faulty(func(g *Grid) {
+	set := withFault(func(g *Grid) {
 		for i := range 16 {
 			g.Endpoint(3 * i).Set(fakes.Manners{Late: 0.5, Delay: 3 * time.Second})
 		}
@@ -269,13 +266,13 @@
 			g.Kill(g.VM(i))
 		}
 		running = append(running, g.Judge.Running())
-		time.Sleep(gone)
+		time.Sleep(leaseEnd)
 		for range 12 {
 			running = append(running, g.Judge.Running())
 			time.Sleep(250 * time.Millisecond)
 		}
 	})
-	play(t, set)
+	simulate(t, set)
 	t.Log(running)
 	is.True(running[0] > 0)
 	for _, n := range running[1:] {
@@ -283,12 +280,11 @@
 	}
 }
 
-// Symptom: jobs fail when endpoints crash or leave. Sequence: four crash, four announce
-// that they leave and go two seconds later. Cause: their runs are waited for, or new work
-// is sent there.
+// Guards against jobs that fail when endpoints crash or leave: four crash, four announce that they
+// leave and go two seconds later. Their runs were waited for, or new work was sent there.
 func TestEndpointsCrashAndLeave(t *testing.T) {
 	is := is.New(t)
-	g := play(t, faulty(func(g *Grid) {
+	g := simulate(t, withFault(func(g *Grid) {
 		for i := range 8 {
 			e := g.Endpoint(5 * i)
 			if i < 4 {
@@ -307,24 +303,23 @@
 			g.Endpoint(5 * i).Crash()
 		}
 	}))
-	report(t, g, hit, hit+6*time.Second)
-	is.True(g.Counts(every, hit, hit+6*time.Second).Share() >= 0.93)
+	logPerKind(t, g, faultAt, faultAt+6*time.Second)
+	is.True(g.Counts(allKinds, faultAt, faultAt+6*time.Second).Share() >= 0.93)
 }
 
-// Symptom: a caller on an open connection to a VM that leaves waits and is cut off.
-// Sequence: the VM has said that it leaves, and callers go on using the connections they
-// have. Cause: the owners tell their load only to VMs that stay, so the leaving one knows
-// none of them and holds the jobs until it ends.
+// Guards against a caller that goes on using its connection to a leaving VM, waits and is cut off:
+// owners reported their load only to VMs that stay, so the leaving VM knew no owner and held the
+// jobs until it ended.
 func TestLeavingVMServesCallersThatStay(t *testing.T) {
 	is := is.New(t)
 	answers := make(chan job.Answer, 3)
-	play(t, faulty(func(g *Grid) {
+	simulate(t, withFault(func(g *Grid) {
 		v := g.VM(0)
-		v.ready.Store(false) // no answers to others tell it of the owners
+		v.accepting.Store(false) // it learns of no owners by answering other callers
 		go g.Drain(v, false)
 		for i := range cap(answers) {
 			time.Sleep(700 * time.Millisecond)
-			j, _, _ := g.draw(rand.New(rand.NewPCG(uint64(i), 1)), plain, 1_000_000+i)
+			j, _, _ := g.drawJob(rand.New(rand.NewPCG(uint64(i), 1)), plain, 1_000_000+i)
 			go func() {
 				a := v.Node.Submit(g.ctx, serve.Submission{Host: host, Path: "/plain/" + j.ID, Job: j, Left: time.Second})
 				g.Judge.Answered(j.ID, j.Tasks(), a)
@@ -341,16 +336,16 @@
 	is.Equal(done, cap(answers))
 }
 
-// Symptom: a task runs twice at the same time. Sequence: an owner stands still with a job
-// on its way to it; the job's VM gives up and its caller submits it again, elsewhere; the
-// owner wakes before anyone has taken its endpoints, reads the job and starts it. Cause: a job
-// is started however late it comes. (Found by the soak, seed 136: two VMs paused.)
+// Guards against a task that runs twice at a time: an owner is paused while a job is on its way to
+// it; the VM that sent the job gives up, and its caller resubmits it elsewhere; the owner resumes
+// before its endpoints are taken over, reads the job and starts it, however late. (Found by the
+// soak, seed 136: two VMs paused.)
 func TestPausedOwnerStartsNoOldJobs(t *testing.T) {
 	const pause, again = 950 * time.Millisecond, 1300 * time.Millisecond
-	play(t, faulty(func(g *Grid) {
+	simulate(t, withFault(func(g *Grid) {
 		g.Pause(g.Owner("fd-a"), pause)
 		for i := range 40 {
-			j, _, _ := g.draw(rand.New(rand.NewPCG(uint64(i), 1)), plain, 1_000_000+i)
+			j, _, _ := g.drawJob(rand.New(rand.NewPCG(uint64(i), 1)), plain, 1_000_000+i)
 			g.Judge.Expect(batch.Task{Job: j.ID}.String(), fakes.Work{Need: j.Steps[0].Need, Run: 1700 * time.Millisecond})
 			j.Steps[0].Count = 1
 			go func() {
--- a/internal/tool/grid/judge.go
+++ b/internal/tool/grid/judge.go
@@ -11,45 +11,45 @@
 	"dahliawinch/internal/task/lease"
 )
 
-// Judge sees what endpoints run and what callers are told, and holds the one against
-// the other.
+// Judge records what endpoints run and what answers callers get, and reports violations: tasks that
+// ran twice at a time, false refusals, partial answers.
 type Judge struct {
-	mu     sync.Mutex
-	work   map[string]fakes.Work
-	live   map[string]map[string]int // by task: endpoint and run
-	done   map[string]int            // tasks done, by job
-	began  map[string]bool           // jobs of which something began
-	told   map[string]job.Answer
-	tasks  map[string]int
-	shut   map[string]time.Time // endpoints that may start nothing, from when on
-	guilty map[string]bool      // jobs with a task that crashes endpoints
-	killed map[string]int       // starts of such tasks
-	runs   map[string]time.Time // when each run began that goes on, by task and endpoint
-	freed  map[string][]time.Time
-	halted map[string]time.Time // when the last run of a task ended or was broken off
-	halts  []Halt
-	broken []string
-	Starts int
-	Stops  int
-}
-
-// Halt is the time from when a run was over that did not fail until its task began again: the run was broken off, or its
-// owner did not hear of its end.
-type Halt struct {
+	mu         sync.Mutex
+	work       map[string]fakes.Work
+	running    map[string]map[string]int // run number by endpoint, by task
+	done       map[string]int            // tasks done, by job
+	started    map[string]bool           // jobs that started at least one task
+	answers    map[string]job.Answer
+	tasks      map[string]int
+	cordonedAt map[string]time.Time // since when endpoints may start nothing
+	crashing   map[string]bool      // jobs with a task that crashes endpoints
+	crashes    map[string]int       // starts of such tasks, by task
+	runStarts  map[string]time.Time // when each ongoing run began, by task and endpoint
+	freed      map[string][]time.Time
+	endedAt    map[string]time.Time // when the last run of a task ended or was stopped
+	gaps       []Gap
+	violations []string
+	Starts     int
+	Stops      int
+}
+
+// Gap is the time between the end of a run that did not fail and the next start of its task: the
+// run was stopped, or its owner did not learn of its end.
+type Gap struct {
 	At  time.Time
 	For time.Duration
 }
 
-// NewJudge returns a judge that has seen nothing.
+// NewJudge returns an empty judge.
 func NewJudge() *Judge {
 	return &Judge{
-		work: map[string]fakes.Work{}, live: map[string]map[string]int{}, done: map[string]int{},
-		began: map[string]bool{}, told: map[string]job.Answer{}, tasks: map[string]int{}, shut: map[string]time.Time{}, guilty: map[string]bool{}, killed: map[string]int{}, halted: map[string]time.Time{},
-		runs: map[string]time.Time{}, freed: map[string][]time.Time{},
+		work: map[string]fakes.Work{}, running: map[string]map[string]int{}, done: map[string]int{},
+		started: map[string]bool{}, answers: map[string]job.Answer{}, tasks: map[string]int{}, cordonedAt: map[string]time.Time{}, crashing: map[string]bool{}, crashes: map[string]int{}, endedAt: map[string]time.Time{},
+		runStarts: map[string]time.Time{}, freed: map[string][]time.Time{},
 	}
 }
 
-// Expect tells what a task is.
+// Expect sets the work of a task before it starts.
 func (j *Judge) Expect(task string, w fakes.Work) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -69,40 +69,40 @@
 func (j *Judge) Began(at time.Time, ep, task string, num int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if from, ok := j.shut[ep]; ok && at.After(from) {
-		j.broken = append(j.broken, fmt.Sprintf("cordon: %s run %d on %s %s too late", task, num, ep, at.Sub(from)))
+	if from, ok := j.cordonedAt[ep]; ok && at.After(from) {
+		j.violations = append(j.violations, fmt.Sprintf("cordon: %s run %d on %s %s too late", task, num, ep, at.Sub(from)))
 	}
 	j.Starts++
 	id := jobOf(task)
-	j.began[id] = true
+	j.started[id] = true
 	if j.work[task].Crash {
-		j.killed[task]++
+		j.crashes[task]++
 	}
-	if len(j.live[task]) > 0 {
-		j.broken = append(j.broken, fmt.Sprintf("twice: %s run %d on %s while %v", task, num, ep, j.live[task]))
+	if len(j.running[task]) > 0 {
+		j.violations = append(j.violations, fmt.Sprintf("twice: %s run %d on %s while %v", task, num, ep, j.running[task]))
 	}
-	if since, ok := j.halted[task]; ok {
-		j.halts = append(j.halts, Halt{since, at.Sub(since)})
-		delete(j.halted, task)
+	if since, ok := j.endedAt[task]; ok {
+		j.gaps = append(j.gaps, Gap{since, at.Sub(since)})
+		delete(j.endedAt, task)
 	}
-	if a, ok := j.told[id]; ok && a.Outcome == job.Refused {
-		j.broken = append(j.broken, fmt.Sprintf("lie: %s began after its job was refused", task))
+	if a, ok := j.answers[id]; ok && a.Outcome == job.Refused {
+		j.violations = append(j.violations, fmt.Sprintf("false refusal: %s began after its job was refused", task))
 	}
-	if j.live[task] == nil {
-		j.live[task] = map[string]int{}
+	if j.running[task] == nil {
+		j.running[task] = map[string]int{}
 	}
-	j.live[task][ep] = num
-	j.runs[task+"@"+ep] = at
+	j.running[task][ep] = num
+	j.runStarts[task+"@"+ep] = at
 }
 
 // Over implements fakes.Board.
 func (j *Judge) Over(at time.Time, ep, task string, num int, how lease.How) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.outlived(at, ep, task, num)
-	delete(j.live[task], ep)
+	j.checkOutlived(at, ep, task, num)
+	delete(j.running[task], ep)
 	if how != lease.Failed {
-		j.halted[task] = at
+		j.endedAt[task] = at
 	}
 	switch how {
 	case lease.Done:
@@ -113,30 +113,31 @@
 	}
 }
 
-// Free notes that a job's caller may submit it again after a while from then on.
-func (j *Judge) Free(at time.Time, id string) {
+// AllowResubmit records a time from which a caller may submit its job again, after a while.
+func (j *Judge) AllowResubmit(at time.Time, id string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.freed[id] = append(j.freed[id], at)
 }
 
-// outlived checks a run that has ended against the time at which its job could come again; the caller holds the lock.
-func (j *Judge) outlived(at time.Time, ep, task string, num int) {
-	began := j.runs[task+"@"+ep]
-	delete(j.runs, task+"@"+ep)
+// checkOutlived reports a violation if a run ended after its job could be submitted again. The
+// caller holds the lock.
+func (j *Judge) checkOutlived(at time.Time, ep, task string, num int) {
+	startedAt := j.runStarts[task+"@"+ep]
+	delete(j.runStarts, task+"@"+ep)
 	for _, free := range j.freed[jobOf(task)] {
-		if began.Before(free) && at.After(free.Add(again)) {
-			j.broken = append(j.broken, fmt.Sprintf("outlived: %s run %d on %s ended %s after its job was free to come again", task, num, ep, at.Sub(free)))
+		if startedAt.Before(free) && at.After(free.Add(resubmitAfter)) {
+			j.violations = append(j.violations, fmt.Sprintf("outlived: %s run %d on %s ended %s after its job was free to come again", task, num, ep, at.Sub(free)))
 			return
 		}
 	}
 }
 
-// Halts lists for how long tasks stood still whose runs were over in a span and that began again.
-func (j *Judge) Halts(from, to time.Time) (all []time.Duration) {
+// Gaps returns the gaps of tasks whose runs ended in a span and that started again.
+func (j *Judge) Gaps(from, to time.Time) (all []time.Duration) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	for _, h := range j.halts {
+	for _, h := range j.gaps {
 		if h.At.After(from) && h.At.Before(to) {
 			all = append(all, h.For)
 		}
@@ -144,78 +145,78 @@
 	return all
 }
 
-// Blame notes that a job has a task that crashes endpoints.
-func (j *Judge) Blame(id string) {
+// MarkCrashing marks a job as one with a task that crashes endpoints.
+func (j *Judge) MarkCrashing(id string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.guilty[id] = true
+	j.crashing[id] = true
 }
 
-// Blamed reports whether a job has such a task.
-func (j *Judge) Blamed(id string) bool {
+// IsCrashing reports whether a job has such a task.
+func (j *Judge) IsCrashing(id string) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.guilty[id]
+	return j.crashing[id]
 }
 
-// Crashes returns how many endpoints such tasks crashed, and how many one did at most.
+// Crashes returns how many endpoints such tasks crashed in all, and the most by one task.
 func (j *Judge) Crashes() (all, most int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	for _, n := range j.killed {
+	for _, n := range j.crashes {
 		all += n
 		most = max(most, n)
 	}
 	return all, most
 }
 
-// Shut says from when on an endpoint may start nothing; zero lifts it.
+// CordonFrom sets the time from which an endpoint may start nothing; zero lifts the cordon.
 func (j *Judge) Shut(ep string, from time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if from.IsZero() {
-		delete(j.shut, ep)
+		delete(j.cordonedAt, ep)
 		return
 	}
-	j.shut[ep] = from
+	j.cordonedAt[ep] = from
 }
 
-// Answered notes what a caller was told.
+// Answered records the answer to a job's caller and checks it.
 func (j *Judge) Answered(id string, tasks int, a job.Answer) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.told[id], j.tasks[id] = a, tasks
-	if a.Outcome == job.Refused && j.began[id] {
-		j.broken = append(j.broken, fmt.Sprintf("lie: job %s refused (%s) though it had begun", id, a.Reason))
+	j.answers[id], j.tasks[id] = a, tasks
+	if a.Outcome == job.Refused && j.started[id] {
+		j.violations = append(j.violations, fmt.Sprintf("false refusal: job %s refused (%s) though it had begun", id, a.Reason))
 	}
 	if a.Outcome == job.Done && j.done[id] < tasks {
-		j.broken = append(j.broken, fmt.Sprintf("partial: job %s done with %d of %d tasks", id, j.done[id], tasks))
+		j.violations = append(j.violations, fmt.Sprintf("partial: job %s done with %d of %d tasks", id, j.done[id], tasks))
 	}
 }
 
-// Again notes that a caller submits its job anew: by then nothing of it may run.
+// Resubmitted checks that no task of a job still runs when its caller submits it again.
 func (j *Judge) Again(id string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	for task, eps := range j.live {
+	for task, eps := range j.running {
 		if len(eps) > 0 && jobOf(task) == id {
-			j.broken = append(j.broken, fmt.Sprintf("outlives: %s runs on %v when its caller comes again", task, eps))
+			j.violations = append(j.violations, fmt.Sprintf("outlives: %s runs on %v when its caller comes again", task, eps))
 		}
 	}
 }
 
-// Broken lists the promises that were broken.
+// Violations returns a description of each violation.
 func (j *Judge) Broken() []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return append([]string(nil), j.broken...)
+	return append([]string(nil), j.violations...)
 }
 
 // Running counts the runs that have not ended.
 func (j *Judge) Running() (n int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	for _, eps := range j.live {
+	for _, eps := range j.running {
 		n += len(eps)
 	}
 	return n
--- a/internal/tool/grid/load.go
+++ b/internal/tool/grid/load.go
@@ -14,38 +14,38 @@
 	"dahliawinch/internal/task/job"
 )
 
-// pool is the name of the endpoints' pool.
+// pool is the name of the pool of all endpoints.
 const pool = "pool"
 
-// host is the callers' name for the service.
+// host is the service's name in requests.
 const host = "service.example"
 
-// Kind is a kind of job.
+// Kind describes a kind of job.
 type Kind struct {
 	Name  string
 	Rank  int
 	Share float64 // of all jobs
 	Width int     // mean number of tasks
 	Work  time.Duration
-	Worth float64 // of a job of mean size, answered in time
-	// Cores and Memory are what a task needs in the mean; zero stands for the users' 27 cores and
-	// next to no memory.
+	Worth float64 // of a job of mean size that is answered in time
+	// Cores and Memory are the mean need of a task; zero stands for the users' 27 cores and next to
+	// no memory.
 	Cores, Memory float64
 }
 
-// The latency objective of the users' queues: so many times the work, and so much more.
+// The latency objective of the users' queues is stretch times the run time, plus slack.
 const (
 	stretch = 1.6
 	slack   = 60 * time.Millisecond
-	// meanCores is what a task declares in the mean.
+	// meanCores is the mean number of cores that a task declares.
 	meanCores = 27
-	// patience is how long callers wait beyond the time up to which an answer is of use, as
-	// the users' do.
+	// patience is how long callers wait after an answer has become useless, as the users' callers
+	// do.
 	patience = 1500 * time.Millisecond
 )
 
-// Three are the users' kinds of job.
-func Three() []Kind {
+// UserKinds returns the users' kinds of job.
+func UserKinds() []Kind {
 	return []Kind{
 		{Name: "urgent", Rank: 0, Share: 0.245, Width: 8, Work: 60 * time.Millisecond, Worth: 0.0291},
 		{Name: "long", Rank: 2, Share: 0.044, Width: 4, Work: 900 * time.Millisecond, Worth: 0.16},
@@ -64,53 +64,54 @@
 	return plan.Queue{Name: k.Name, Host: host, Prefix: "/" + k.Name + "/", Pool: pool, Rank: k.Rank, Attempts: 3, Stretch: stretch, Slack: slack, Timeout: patience}
 }
 
-// Result is one job as its caller saw it.
+// Result is the outcome of one job as its caller saw it.
 type Result struct {
-	ID      string
-	Tasks   int
-	Kind    int
-	At      time.Duration // since the start
-	Took    time.Duration
-	Aim     time.Duration
-	Answer  job.Answer
-	Domain  string
-	Unsound bool    // it can't be done
-	Work    float64 // core-seconds
+	ID        string
+	Tasks     int
+	Kind      int
+	At        time.Duration // since the start
+	Took      time.Duration
+	Objective time.Duration
+	Answer    job.Answer
+	Domain    string
+	Unsound   bool    // the job can't be done
+	Work      float64 // core-seconds
 }
 
-// InAim reports whether the job was done within its objective.
-func (r *Result) InAim() bool { return r.Answer.Outcome == job.Done && r.Took <= r.Aim }
+// InTime reports whether the job was done within its objective.
+func (r *Result) InTime() bool { return r.Answer.Outcome == job.Done && r.Took <= r.Objective }
 
-// useful is up to how many times its objective an answer is of some use.
-const useful = 3
+// usefulFactor times its objective is how late an answer may be to be of some use.
+const usefulFactor = 3
 
-// Late reports whether the job was done too late, but not uselessly.
+// Late reports whether the job was done too late for its objective, but early enough to be of some
+// use.
 func (r *Result) Late() bool {
-	return r.Answer.Outcome == job.Done && r.Took > r.Aim && r.Took <= useful*r.Aim
+	return r.Answer.Outcome == job.Done && r.Took > r.Objective && r.Took <= usefulFactor*r.Objective
 }
 
-// lognormal draws around a mean.
+// lognormal draws from a log-normal distribution with the given mean.
 func lognormal(r *rand.Rand, mean, sigma float64) float64 {
 	return mean * math.Exp(sigma*r.NormFloat64()-sigma*sigma/2)
 }
 
-// load submits jobs until the span is over and waits for their answers.
-func (g *Grid) load() {
+// generateLoad submits jobs until the span is over and waits for their answers.
+func (g *Grid) generateLoad() {
 	done := make(chan struct{})
 	n := 0
-	total := g.Warm + g.Span
-	for at := time.Since(g.began); at < total; at = time.Since(g.began) {
-		k := g.kind()
+	total := g.Warmup + g.Span
+	for at := time.Since(g.startedAt); at < total; at = time.Since(g.startedAt) {
+		k := g.drawKind()
 		rate := 1.0
 		if g.Rate != nil {
 			rate = g.Rate(k, at)
 		}
-		// Kinds with a raised rate come several at a time in the mean.
-		for range poisson(g.r, rate) {
+		// A kind with a raised rate submits several jobs at a time on average.
+		for range roundRandomly(g.r, rate) {
 			n++
-			j, aim, work := g.draw(g.r, k, n)
+			j, objective, work := g.drawJob(g.r, k, n)
 			go func() {
-				g.submit(k, j, aim, work)
+				g.submit(k, j, objective, work)
 				done <- struct{}{}
 			}()
 		}
@@ -121,18 +122,18 @@
 	}
 }
 
-func poisson(r *rand.Rand, mean float64) (n int) {
+func roundRandomly(r *rand.Rand, mean float64) (n int) {
 	if mean == 1 {
 		return 1
 	}
-	whole := int(mean)
-	if r.Float64() < mean-float64(whole) {
-		whole++
+	rounded := int(mean)
+	if r.Float64() < mean-float64(rounded) {
+		rounded++
 	}
-	return whole
+	return rounded
 }
 
-func (g *Grid) kind() int {
+func (g *Grid) drawKind() int {
 	x := g.r.Float64()
 	for i, k := range g.Kinds {
 		if x -= k.Share; x < 0 {
@@ -142,77 +143,79 @@
 	return len(g.Kinds) - 1
 }
 
-// draw makes a job whose tasks' work differs a little and is declared wrongly.
-func (g *Grid) draw(r *rand.Rand, kind, n int) (j batch.Job, aim time.Duration, all float64) {
+// drawJob draws a job. The run times of its tasks differ a little, and the declared run time is
+// inexact.
+func (g *Grid) drawJob(r *rand.Rand, kind, n int) (j batch.Job, objective time.Duration, coreSeconds float64) {
 	k := g.Kinds[kind]
 	width := max(1, int(math.Round(lognormal(r, float64(k.Width), 0.4))))
 	cores := min(1.5*k.cores(), lognormal(r, k.cores(), 0.2))
 	work := lognormal(r, float64(k.Work), 0.4)
-	told := work * lognormal(r, 1, 0.4)
+	declared := work * lognormal(r, 1, 0.4)
 	j = batch.Job{ID: fmt.Sprintf("%016x", n), Spec: k.Name, Steps: []batch.Step{{
-		Count: width, Need: job.Size{Cores: cores, Memory: max(0.0625, k.Memory)}, Run: time.Duration(told),
+		Count: width, Need: job.Size{Cores: cores, Memory: max(0.0625, k.Memory)}, Run: time.Duration(declared),
 	}}}
 	longest := 0.0
-	guilty := -1
-	if g.Guilty > 0 && r.Float64() < g.Guilty {
-		guilty = r.IntN(width)
-		g.Judge.Blame(j.ID)
+	crashing := -1
+	if g.CrashShare > 0 && r.Float64() < g.CrashShare {
+		crashing = r.IntN(width)
+		g.Judge.MarkCrashing(j.ID)
 	}
 	for i := range width {
 		w := lognormal(r, work, 0.15)
 		longest = max(longest, w)
-		all += cores * w / float64(time.Second)
-		g.Judge.Expect(batch.Task{Job: j.ID, Index: i}.String(), fakes.Work{Need: j.Steps[0].Need, Run: time.Duration(w), Crash: i == guilty})
+		coreSeconds += cores * w / float64(time.Second)
+		g.Judge.Expect(batch.Task{Job: j.ID, Index: i}.String(), fakes.Work{Need: j.Steps[0].Need, Run: time.Duration(w), Crash: i == crashing})
 	}
-	return j, time.Duration(stretch*longest) + slack, all
+	return j, time.Duration(stretch*longest) + slack, coreSeconds
 }
 
-// submit plays a caller: the balancer picks a VM of its failure domain, or of any.
-func (g *Grid) submit(kind int, j batch.Job, aim time.Duration, work float64) {
-	began := time.Now()
-	domain := domainName(g.rand(g.Domains))
-	res := Result{ID: j.ID, Tasks: j.Tasks(), Kind: kind, At: began.Sub(g.began), Aim: aim, Domain: domain, Work: work}
-	left := patience + useful*aim
+// submit acts as a caller: the balancer picks a VM of its failure domain if it can, or else any.
+func (g *Grid) submit(kind int, j batch.Job, objective time.Duration, work float64) {
+	startedAt := time.Now()
+	domain := domainName(g.randIntN(g.Domains))
+	res := Result{ID: j.ID, Tasks: j.Tasks(), Kind: kind, At: startedAt.Sub(g.startedAt), Objective: objective, Domain: domain, Work: work}
+	left := patience + usefulFactor*objective
 	res.Answer = g.try(kind, j, domain, left)
-	told := res.Answer
-	for g.Again && res.gone() && time.Since(began)+again < left {
-		time.Sleep(again)
-		res.Answer = g.try(kind, j, domain, left-time.Since(began))
-		if res.Answer.Outcome != job.Refused { // that speaks of its own submission only
-			told = res.Answer
+	lastKnown := res.Answer
+	for g.Resubmit && res.lostVM() && time.Since(startedAt)+resubmitAfter < left {
+		time.Sleep(resubmitAfter)
+		res.Answer = g.try(kind, j, domain, left-time.Since(startedAt))
+		if res.Answer.Outcome != job.Refused { // a refusal says nothing of earlier submissions
+			lastKnown = res.Answer
 		}
 	}
-	for range g.Insist {
-		if told.Outcome != job.Unknown {
+	for range g.UnknownRetries {
+		if lastKnown.Outcome != job.Unknown {
 			break
 		}
-		time.Sleep(again)
+		time.Sleep(resubmitAfter)
 		if res.Answer = g.try(kind, j, domain, left); res.Answer.Outcome != job.Refused {
-			told = res.Answer
+			lastKnown = res.Answer
 		}
 	}
-	res.Took = time.Since(began)
-	g.Judge.Answered(j.ID, j.Tasks(), told)
+	res.Took = time.Since(startedAt)
+	g.Judge.Answered(j.ID, j.Tasks(), lastKnown)
 	g.mu.Lock()
 	g.results = append(g.results, res)
 	g.mu.Unlock()
 }
 
-// again is when a caller submits anew whose VM has died, or that found none.
-const again = 1300 * time.Millisecond
+// resubmitAfter is how long a caller waits before it submits again after its VM died or it found
+// none.
+const resubmitAfter = 1300 * time.Millisecond
 
-// What a caller notes whose VM was not there.
+// Reasons of callers that got no answer from a VM.
 const (
 	noVM   = "no VM"
 	vmDied = "VM died"
 )
 
-// gone reports whether there was no VM to answer.
-func (r *Result) gone() bool { return r.Answer.Reason == noVM || r.Answer.Reason == vmDied }
+// lostVM reports whether the job got no answer because there was no VM or it died.
+func (r *Result) lostVM() bool { return r.Answer.Reason == noVM || r.Answer.Reason == vmDied }
 
 // try submits a job once.
 func (g *Grid) try(kind int, j batch.Job, domain string, left time.Duration) job.Answer {
-	v := g.entry(domain)
+	v := g.pickVM(domain)
 	if v == nil {
 		return job.Answer{Outcome: job.Unknown, Reason: noVM}
 	}
@@ -220,21 +223,21 @@
 	defer cancel()
 	out := make(chan job.Answer, 1)
 	go func() {
-		v.clock.gate()
+		v.clock.waitResumed()
 		out <- v.Node.Submit(ctx, serve.Submission{Host: host, Path: "/" + g.Kinds[kind].Name + "/" + j.ID, Job: j, Left: left})
 	}()
 	a := g.await(v, out)
 	if a.Outcome == job.Unknown {
-		g.Judge.Free(time.Now(), j.ID)
+		g.Judge.AllowResubmit(time.Now(), j.ID)
 	}
 	return a
 }
 
-// deadLook is how often a caller notices that its VM has died.
-const deadLook = 5 * time.Millisecond
+// deathPoll is how often a caller checks whether its VM has died.
+const deathPoll = 5 * time.Millisecond
 
 func (g *Grid) await(v *VM, out <-chan job.Answer) job.Answer {
-	t := time.NewTicker(deadLook)
+	t := time.NewTicker(deathPoll)
 	defer t.Stop()
 	for {
 		select {
@@ -251,18 +254,18 @@
 	}
 }
 
-func (g *Grid) rand(n int) int {
+func (g *Grid) randIntN(n int) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return rand.New(rand.NewPCG(g.Seed, g.serial.Add(1))).IntN(n)
 }
 
-// entry picks a VM that takes callers, of a failure domain if one does.
-func (g *Grid) entry(domain string) *VM {
+// pickVM picks a VM that accepts callers, of the given failure domain if there is one.
+func (g *Grid) pickVM(domain string) *VM {
 	g.mu.Lock()
 	var near, all []*VM
 	for _, v := range g.vms {
-		if v.dead.Load() || !v.ready.Load() || v.shunned.Load() {
+		if v.dead.Load() || !v.accepting.Load() || v.excluded.Load() {
 			continue
 		}
 		all = append(all, v)
@@ -270,9 +273,9 @@
 			near = append(near, v)
 		}
 	}
-	if len(all) == 0 { // it has none to prefer
+	if len(all) == 0 { // if all are excluded, the balancer uses them all
 		for _, v := range g.vms {
-			if !v.dead.Load() && v.ready.Load() {
+			if !v.dead.Load() && v.accepting.Load() {
 				all = append(all, v)
 			}
 		}
@@ -284,5 +287,5 @@
 	if len(near) == 0 {
 		return nil
 	}
-	return near[g.rand(len(near))]
+	return near[g.randIntN(len(near))]
 }
--- a/internal/tool/grid/net.go
+++ b/internal/tool/grid/net.go
@@ -1,4 +1,4 @@
-// Package grid plays whole entry VMs on leased endpoints between small stand-ins, under
+// Package grid simulates whole entry VMs and leased endpoints on fake networks and stores, under
 // load and faults, in the virtual time of testing/synctest.
 package grid
 
@@ -19,32 +19,32 @@
 	"dahliawinch/internal/task/lease"
 )
 
-// One-way delays between VMs and to endpoints.
+// Delays on paths to VMs and endpoints, one way, and of the store.
 const (
-	within  = 100 * time.Microsecond // a failure domain
-	between = 900 * time.Microsecond // failure domains
-	storing = 4 * time.Millisecond   // an answer of the store
+	sameDomainDelay  = 100 * time.Microsecond // within a failure domain
+	crossDomainDelay = 900 * time.Microsecond // between failure domains
+	storeDelay       = 4 * time.Millisecond   // shortest time to an answer of the store
 )
 
-// clock is a VM's clock. While the VM is paused its timers stand still, and so does
-// whatever passes a gate: orders, answers and messages.
+// clock is a VM's clock. While the VM is paused its timers stop, and so does everything that calls
+// waitResumed: orders, answers and messages.
 type clock struct {
-	mu    sync.Mutex
-	from  time.Time
-	until time.Time
+	mu          sync.Mutex
+	pausedAt    time.Time
+	pausedUntil time.Time
 }
 
 // Now implements timer.Clock for the timers.
 func (c *clock) Now() time.Time {
-	c.gate()
+	c.waitResumed()
 	return time.Now()
 }
 
-// gate waits until the VM runs.
-func (c *clock) gate() {
+// waitResumed waits until the VM is not paused.
+func (c *clock) waitResumed() {
 	for {
 		c.mu.Lock()
-		d := time.Until(c.until)
+		d := time.Until(c.pausedUntil)
 		c.mu.Unlock()
 		if d <= 0 {
 			return
@@ -53,41 +53,42 @@
 	}
 }
 
-// stands reports for how long the VM has been paused.
-func (c *clock) stands() time.Duration {
+// pausedFor returns how long the VM has been paused, 0 if it runs.
+func (c *clock) pausedFor() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !time.Now().Before(c.until) {
+	if !time.Now().Before(c.pausedUntil) {
 		return 0
 	}
-	return time.Since(c.from)
+	return time.Since(c.pausedAt)
 }
 
 func (c *clock) pause(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.from, c.until = time.Now(), time.Now().Add(d)
+	c.pausedAt, c.pausedUntil = time.Now(), time.Now().Add(d)
 }
 
 // VM is one entry VM of the grid.
 type VM struct {
-	Mesh   netip.AddrPort
-	Domain string
-	Inc    uint64
-	Node   *serve.Node
-	born   time.Time
-	clock  *clock
-	up     *uplink
-	cancel context.CancelFunc
-	dead   atomic.Bool
-	ready  atomic.Bool // the balancer sends callers
-	orders atomic.Int64
-	alone  atomic.Bool  // no message passes between it and other VMs
-	party  atomic.Int32 // messages pass within one only
-	deaf   atomic.Bool  // no message of other VMs reaches it
-	// known is set once the balancer has found a VM ready at the address, shunned while it sends it no callers.
-	known, shunned atomic.Bool
-	died           time.Time // for Boot
+	Mesh       netip.AddrPort
+	Domain     string
+	Inc        uint64
+	Node       *serve.Node
+	bootedAt   time.Time
+	clock      *clock
+	uplink     *uplink
+	cancel     context.CancelFunc
+	dead       atomic.Bool
+	accepting  atomic.Bool // the balancer may send callers
+	orders     atomic.Int64
+	isolated   atomic.Bool  // exchanges no messages with other VMs
+	partition  atomic.Int32 // messages pass only between VMs of the same number
+	inboundCut atomic.Bool  // receives no messages of other VMs
+	// seenReady is set once the balancer has found a VM ready at the address, excluded while it
+	// sends no callers there.
+	seenReady, excluded atomic.Bool
+	diedAt              time.Time // read by inheritBalancer
 }
 
 var (
@@ -102,31 +103,31 @@
 	lane     *fakes.Lane
 }
 
-// deaf is how long a peer may stand still before a link to it counts as lost.
-const deaf = 500 * time.Millisecond
+// linkLostAfter is how long a peer may be paused before a link to it counts as lost.
+const linkLostAfter = 500 * time.Millisecond
 
-// healed is how long after a cut kept messages go on.
-const healed = 20 * time.Millisecond
+// resendInterval is how often a reliable message is tried while its path is cut.
+const resendInterval = 20 * time.Millisecond
 
 func (l *link) run() {
 	defer l.g.wg.Done()
 	l.lane.Run(l.g.ctx, func(m frame.Msg) {
-		for l.g.linkless(l.from.Domain, l.to.Domain) && !l.to.dead.Load() && l.g.ctx.Err() == nil {
+		for l.g.linkDown(l.from.Domain, l.to.Domain) && !l.to.dead.Load() && l.g.ctx.Err() == nil {
 			if !frame.Reliable(m) {
 				break
 			}
-			time.Sleep(healed)
+			time.Sleep(resendInterval)
 		}
-		if l.to.dead.Load() || l.from.isApart(l.to) || l.to.deaf.Load() || l.g.linkless(l.from.Domain, l.to.Domain) {
+		if l.to.dead.Load() || l.from.separatedFrom(l.to) || l.to.inboundCut.Load() || l.g.linkDown(l.from.Domain, l.to.Domain) {
 			return
 		}
-		l.to.clock.gate() // a paused VM reads later
+		l.to.clock.waitResumed() // a paused VM reads later
 		l.to.Node.Receive(frame.Hello{VM: l.from.Mesh, Inc: l.from.Inc, Domain: l.from.Domain}, m)
 	})
 }
 
-// post is the mesh of one VM.
-type post struct {
+// vmMesh is the mesh of one VM.
+type vmMesh struct {
 	g     *Grid
 	from  *VM
 	mu    sync.Mutex
@@ -134,19 +135,19 @@
 }
 
 // Cast implements serve.Mesh.
-func (p *post) Cast(to netip.AddrPort, m frame.Msg) error {
-	p.g.Casts.Add(1)
-	if p.g.Weigh {
-		p.g.weigh(m)
+func (p *vmMesh) Cast(to netip.AddrPort, m frame.Msg) error {
+	p.g.Messages.Add(1)
+	if p.g.CountBytes {
+		p.g.countControl(m)
 	}
-	vm := p.g.at(to)
+	vm := p.g.vmAt(to)
 	if vm == nil || vm.dead.Load() || p.from.dead.Load() {
 		return errDead
 	}
-	if p.from.isApart(vm) || vm.deaf.Load() {
+	if p.from.separatedFrom(vm) || vm.inboundCut.Load() {
 		return errCut
 	}
-	if vm.clock.stands() > deaf && !frame.Answering(m) {
+	if vm.clock.pausedFor() > linkLostAfter && !frame.Answering(m) {
 		return errCut
 	}
 	p.mu.Lock()
@@ -158,99 +159,99 @@
 		go l.run()
 	}
 	p.mu.Unlock()
-	if !l.lane.Put(delay(p.from.Domain, vm.Domain)+p.from.up.takes(sizeOf(m)), m) {
+	if !l.lane.Put(pathDelay(p.from.Domain, vm.Domain)+p.from.uplink.sendDelay(msgSize(m)), m) {
 		return errCut
 	}
 	return nil
 }
 
-// weigh counts a message's bytes if it is one of control.
-func (g *Grid) weigh(m frame.Msg) {
+// countControl adds a message's bytes to ControlBytes unless it belongs to a job.
+func (g *Grid) countControl(m frame.Msg) {
 	switch m.(type) {
 	case *frame.Hand, *frame.Told, *frame.Drop:
 		return
 	}
 	b, err := frame.Append(nil, m)
 	if err != nil {
-		panic(err) // messages of this program can be coded
+		panic(err) // all message types can be encoded
 	}
-	g.Control.Add(int64(len(b)))
+	g.ControlBytes.Add(int64(len(b)))
 }
 
 // Spread implements serve.Mesh.
-func (p *post) Spread(to []netip.AddrPort, m frame.Msg) {
+func (p *vmMesh) Spread(to []netip.AddrPort, m frame.Msg) {
 	for _, vm := range to {
-		_ = p.Cast(vm, m) // it may be lost
+		_ = p.Cast(vm, m) // messages may be lost
 	}
 }
 
-// unanswered is how long two dials to a machine without power take.
-const unanswered = 250 * time.Millisecond
+// dialTime is how long two dials to a machine without power take.
+const dialTime = 250 * time.Millisecond
 
-// Absent implements serve.Mesh: machines of dead VMs have no power, and no path is one that answers.
-func (p *post) Absent(to netip.AddrPort) bool {
-	vm := p.g.at(to)
-	return (vm == nil || vm.dead.Load() || !p.connects(vm)) && time.Since(p.from.born) >= unanswered
+// Absent implements serve.Mesh: dead VMs have no power, and a path that is cut gives no answer.
+func (p *vmMesh) Absent(to netip.AddrPort) bool {
+	vm := p.g.vmAt(to)
+	return (vm == nil || vm.dead.Load() || !p.connects(vm)) && time.Since(p.from.bootedAt) >= dialTime
 }
 
-// isApart reports whether no message passes between two VMs.
-func (v *VM) isApart(o *VM) bool {
-	return v.alone.Load() || o.alone.Load() || v.party.Load() != o.party.Load()
+// separatedFrom reports whether two VMs can exchange no messages, whatever their failure domains.
+func (v *VM) separatedFrom(o *VM) bool {
+	return v.isolated.Load() || o.isolated.Load() || v.partition.Load() != o.partition.Load()
 }
 
-// connects reports whether a connection to a VM can be made, which takes both ways.
-func (p *post) connects(to *VM) bool {
-	return !p.from.isApart(to) && !p.g.isCut(p.from.Domain, to.Domain) && !p.g.isCut(to.Domain, p.from.Domain)
+// connects reports whether a connection to a VM can be made; it needs both directions.
+func (p *vmMesh) connects(to *VM) bool {
+	return !p.from.separatedFrom(to) && !p.g.isCut(p.from.Domain, to.Domain) && !p.g.isCut(to.Domain, p.from.Domain)
 }
 
-// Refused implements serve.Mesh: no machine here runs without its process.
-func (p *post) Refused(netip.AddrPort) bool { return false }
+// Refused implements serve.Mesh: no machine runs here without its process.
+func (p *vmMesh) Refused(netip.AddrPort) bool { return false }
 
-func delay(a, b string) time.Duration {
+func pathDelay(a, b string) time.Duration {
 	if a == b {
-		return within
+		return sameDomainDelay
 	}
-	return between
+	return crossDomainDelay
 }
 
-// hands reach the endpoints from one VM.
-type hands struct {
+// vmAgent sends orders from one VM to the endpoints.
+type vmAgent struct {
 	g    *Grid
 	from *VM
 }
 
-// reach brings an order to an endpoint, if it is not cut off, and its answer back. On a narrow link
-// it may arrive after its sender has given it up.
-func (h *hands) reach(ctx context.Context, to agent.Target, bytes int, do func(*fakes.Leased) error) error {
-	h.from.clock.gate()
+// call delivers an order to an endpoint, unless a cut prevents it, and returns its answer. On a
+// slow link the order may arrive after the caller of call has given up.
+func (h *vmAgent) call(ctx context.Context, to agent.Target, bytes int, do func(*fakes.Leased) error) error {
+	h.from.clock.waitResumed()
 	if h.from.dead.Load() {
 		return errDead
 	}
 	h.from.orders.Add(1)
-	wait := h.from.up.takes(bytes)
+	wait := h.from.uplink.sendDelay(bytes)
 	if wait == 0 {
-		return h.bring(ctx, to, 0, do)
+		return h.deliver(ctx, to, 0, do)
 	}
 	done := make(chan error, 1)
 	h.g.wg.Add(1)
 	go func() {
 		defer h.g.wg.Done()
-		done <- h.bring(ctx, to, wait, do)
+		done <- h.deliver(ctx, to, wait, do)
 	}()
 	select {
 	case err := <-done:
 		return err
 	case <-ctx.Done():
-		return errLate
+		return errNoAnswer
 	}
 }
 
-var errLate = errors.New("no answer in time")
+var errNoAnswer = errors.New("no answer in time")
 
-// bring does what reach says once an order has waited for its turn on the link.
-func (h *hands) bring(ctx context.Context, to agent.Target, wait time.Duration, do func(*fakes.Leased) error) error {
+// deliver carries an order and its answer after wait, the delay of the uplink.
+func (h *vmAgent) deliver(ctx context.Context, to agent.Target, wait time.Duration, do func(*fakes.Leased) error) error {
 	e := h.g.endpoint(to.ID)
-	d := delay(h.from.Domain, e.Domain)
+	d := pathDelay(h.from.Domain, e.Domain)
 	time.Sleep(wait + d)
 	if h.g.isCut(h.from.Domain, e.Domain) {
 		<-ctx.Done()
@@ -262,24 +263,24 @@
 		<-ctx.Done()
 		return errCut
 	}
-	h.from.clock.gate()
+	h.from.clock.waitResumed()
 	return err
 }
 
 // Start implements agent.Agent.
-func (h *hands) Start(ctx context.Context, to agent.Target, o agent.Start) error {
-	return h.reach(ctx, to, startBytes, func(e *fakes.Leased) error { return e.Start(ctx, to.ID, o) })
+func (h *vmAgent) Start(ctx context.Context, to agent.Target, o agent.Start) error {
+	return h.call(ctx, to, startOrderBytes, func(e *fakes.Leased) error { return e.Start(ctx, to.ID, o) })
 }
 
 // Stop implements agent.Agent.
-func (h *hands) Stop(ctx context.Context, to agent.Target, n lease.Name, fence uint64) error {
-	return h.reach(ctx, to, otherBytes, func(e *fakes.Leased) error { return e.Stop(ctx, to.ID, n, fence) })
+func (h *vmAgent) Stop(ctx context.Context, to agent.Target, n lease.Name, fence uint64) error {
+	return h.call(ctx, to, otherOrderBytes, func(e *fakes.Leased) error { return e.Stop(ctx, to.ID, n, fence) })
 }
 
 // Renew implements agent.Agent.
-func (h *hands) Renew(ctx context.Context, to agent.Target, o agent.Renew) (lease.Report, error) {
-	var r lease.Report // an answer that comes too late still writes it
-	err := h.reach(ctx, to, otherBytes, func(e *fakes.Leased) (err error) {
+func (h *vmAgent) Renew(ctx context.Context, to agent.Target, o agent.Renew) (lease.Report, error) {
+	var r lease.Report // a late answer still writes it
+	err := h.call(ctx, to, otherOrderBytes, func(e *fakes.Leased) (err error) {
 		r, err = e.Renew(ctx, to.ID, o)
 		return err
 	})
@@ -290,85 +291,85 @@
 }
 
 // Reach implements agent.Agent.
-func (h *hands) Reach(ctx context.Context, to agent.Target) error {
-	return h.reach(ctx, to, 0, func(*fakes.Leased) error { return nil })
+func (h *vmAgent) Reach(ctx context.Context, to agent.Target) error {
+	return h.call(ctx, to, 0, func(*fakes.Leased) error { return nil })
 }
 
 // Forget implements agent.Agent.
-func (h *hands) Forget(agent.Target) {}
-
-// seen is a topic as one VM reaches it.
-type seen[T any] struct {
-	t       *fakes.Topic[T]
-	g       *Grid
-	from    *VM
-	records *atomic.Int64 // what it gave, counted
+func (h *vmAgent) Forget(agent.Target) {}
+
+// vmTopic is a topic of the store as one VM reaches it.
+type vmTopic[T any] struct {
+	topic *fakes.Topic[T]
+	g     *Grid
+	from  *VM
+	reads *atomic.Int64 // counts the records returned
 }
 
-func (s *seen[T]) reach() error {
+func (s *vmTopic[T]) call() error {
 	s.g.StoreCalls.Add(1)
-	s.from.clock.gate()
-	time.Sleep(max(storing, s.g.Store))
-	if s.g.storeless(s.from) {
+	s.from.clock.waitResumed()
+	time.Sleep(max(storeDelay, s.g.StoreDelay))
+	if s.g.storeDown(s.from) {
 		return fakes.ErrStore
 	}
 	return nil
 }
 
 // Newest implements feed.Source.
-func (s *seen[T]) Newest(ctx context.Context) ([]feed.Update[T], int64, error) {
-	if err := s.reach(); err != nil {
+func (s *vmTopic[T]) Newest(ctx context.Context) ([]feed.Update[T], int64, error) {
+	if err := s.call(); err != nil {
 		return nil, 0, err
 	}
-	us, next, err := s.t.Newest(ctx)
+	us, next, err := s.topic.Newest(ctx)
 	if err != nil {
 		return nil, 0, fmt.Errorf("newest: %w", err)
 	}
-	s.records.Add(int64(len(us)))
+	s.reads.Add(int64(len(us)))
 	return us, next, nil
 }
 
 // Next implements feed.Source.
-func (s *seen[T]) Next(ctx context.Context, from int64, a feed.Ask) (b feed.Batch[T], err error) {
-	if err := s.reach(); err != nil {
+func (s *vmTopic[T]) Next(ctx context.Context, from int64, a feed.Ask) (b feed.Batch[T], err error) {
+	if err := s.call(); err != nil {
 		return b, err
 	}
-	if b, err = s.t.Next(ctx, from, a); err != nil {
+	if b, err = s.topic.Next(ctx, from, a); err != nil {
 		return b, fmt.Errorf("next: %w", err)
 	}
-	s.records.Add(int64(len(b.All)))
+	s.reads.Add(int64(len(b.All)))
 	return b, nil
 }
 
-// registry is the VMs' topic as one VM reaches it.
-type registry struct{ seen[serve.VM] }
+// registry is the topic of VMs as one VM reaches it.
+type registry struct{ vmTopic[serve.VM] }
 
 // Join implements serve.Registry.
 func (r *registry) Join(_ context.Context, vm serve.VM) error {
-	if err := r.reach(); err != nil {
+	if err := r.call(); err != nil {
 		return err
 	}
-	r.t.Put(vm.Mesh.String(), vm)
+	r.topic.Put(vm.Mesh.String(), vm)
 	return nil
 }
 
 // Leave implements serve.Registry.
 func (r *registry) Leave(_ context.Context, vm serve.VM) error {
-	if err := r.reach(); err != nil {
+	if err := r.call(); err != nil {
 		return err
 	}
-	r.t.Remove(vm.Mesh.String())
+	r.topic.Remove(vm.Mesh.String())
 	return nil
 }
 
 // presence is the topic of probes as one VM reaches it.
-type presence struct{ seen[serve.Probe] }
+type presence struct{ vmTopic[serve.Probe] }
 
 // Post implements serve.Presence.
 func (p *presence) Post(_ context.Context, q serve.Probe) error {
-	if err := p.reach(); err != nil {
+	if err := p.call(); err != nil {
 		return err
 	}
-	p.t.Put(q.Domain, q)
+	p.topic.Put(q.Domain, q)
 	return nil
 }
--- a/internal/tool/grid/score.go
+++ b/internal/tool/grid/score.go
@@ -9,52 +9,52 @@
 	"dahliawinch/internal/task/job"
 )
 
-// Count is how a kind's jobs ended.
+// Count tells how many jobs were submitted and how they ended.
 type Count struct {
-	Asked, InAim, Late, Refused, Failed int
+	Asked, InTime, Late, Refused, Failed int
 }
 
-// Add sums up the counts of several plays.
+// Add adds the counts of another run.
 func (c *Count) Add(o Count) {
 	c.Asked += o.Asked
-	c.InAim += o.InAim
+	c.InTime += o.InTime
 	c.Late += o.Late
 	c.Refused += o.Refused
 	c.Failed += o.Failed
 }
 
-// Share is the part of jobs within their objective.
-func (c Count) Share() float64 { return float64(c.InAim) / float64(max(1, c.Asked)) }
+// Share returns the share of jobs done within their objective.
+func (c Count) Share() float64 { return float64(c.InTime) / float64(max(1, c.Asked)) }
 
-// every is a kind that stands for all.
-const every = -1
+// allKinds stands for jobs of all kinds.
+const allKinds = -1
 
-// sent are the jobs of a kind that were submitted in a span since the start.
-func (g *Grid) sent(kind int, from, to time.Duration) iter.Seq[*Result] {
+// submitted yields the jobs of a kind that were submitted in a span, in time since the start.
+func (g *Grid) submitted(kind int, from, to time.Duration) iter.Seq[*Result] {
 	return func(yield func(*Result) bool) {
 		for i := range g.results {
 			r := &g.results[i]
-			if (kind == every || r.Kind == kind) && r.At >= from && r.At < to && !yield(r) {
+			if (kind == allKinds || r.Kind == kind) && r.At >= from && r.At < to && !yield(r) {
 				return
 			}
 		}
 	}
 }
 
-// Counts sums up how the jobs of a kind ended that were submitted in a span.
+// Counts counts how the jobs of a kind ended that were submitted in a span.
 func (g *Grid) Counts(kind int, from, to time.Duration) (c Count) {
-	for r := range g.sent(kind, from, to) {
-		c.note(r)
+	for r := range g.submitted(kind, from, to) {
+		c.addResult(r)
 	}
 	return c
 }
 
-// note takes in how a job ended.
-func (c *Count) note(r *Result) {
+// addResult counts one job.
+func (c *Count) addResult(r *Result) {
 	c.Asked++
 	switch {
-	case r.InAim():
-		c.InAim++
+	case r.InTime():
+		c.InTime++
 	case r.Late():
 		c.Late++
 	case r.Answer.Outcome == job.Refused:
@@ -64,17 +64,18 @@
 	}
 }
 
-// worth of a job: three tenths for each of a kind, the rest by its work.
+// worth returns the worth of a job: three tenths of its kind's worth are fixed, the rest grows with
+// its work.
 func (g *Grid) worth(r *Result) float64 {
 	k := g.Kinds[r.Kind]
 	mean := float64(k.Width) * k.cores() * k.Work.Seconds()
 	return k.Worth * min(4, 0.3+0.7*r.Work/mean)
 }
 
-// earns is the part of its worth that a job earned: a fifth if it was late.
-func (r *Result) earns() float64 {
+// earnedShare returns the share of its worth that a job earned: a fifth if it was late.
+func (r *Result) earnedShare() float64 {
 	switch {
-	case r.InAim():
+	case r.InTime():
 		return 1
 	case r.Late():
 		return 0.2
@@ -83,8 +84,8 @@
 	}
 }
 
-// fate is one word for what became of a job that did not earn its worth.
-func (r *Result) fate() string {
+// lossReason names the reason why a job did not earn its worth.
+func (r *Result) lossReason() string {
 	switch {
 	case r.Late():
 		return "late"
@@ -95,26 +96,26 @@
 	}
 }
 
-// Earned is the worth of a span's answers over what all in time would be worth.
+// Earned returns the share of the worth of a span's jobs that their answers earned.
 func (g *Grid) Earned(from, to time.Duration) float64 {
 	got, all := 0.0, 0.0
-	for r := range g.sent(every, from, to) {
+	for r := range g.submitted(allKinds, from, to) {
 		w := g.worth(r)
 		all += w
-		got += w * r.earns()
+		got += w * r.earnedShare()
 	}
 	return got / max(all, 1e-9)
 }
 
-// Lost is the part of a span's worth that was not earned, by what became of it: "late",
-// "useless" if it came later still, or the reason of the answer.
-func (g *Grid) Lost(from, to time.Duration) map[string]float64 {
+// LostWorth returns the share of a span's worth that was not earned, by reason: "late", "useless"
+// if the answer came later still, or the reason of the answer.
+func (g *Grid) LostWorth(from, to time.Duration) map[string]float64 {
 	lost, all := map[string]float64{}, 0.0
-	for r := range g.sent(every, from, to) {
+	for r := range g.submitted(allKinds, from, to) {
 		w := g.worth(r)
 		all += w
-		if !r.InAim() {
-			lost[r.fate()] += w * (1 - r.earns())
+		if !r.InTime() {
+			lost[r.lossReason()] += w * (1 - r.earnedShare())
 		}
 	}
 	for k := range lost {
@@ -123,12 +124,12 @@
 	return lost
 }
 
-// Times are the milliseconds that a span's done jobs of a kind took.
-func (g *Grid) Times(kind int, from, to time.Duration) *hdrhistogram.Histogram {
+// Latencies returns a histogram, in milliseconds, of how long a span's done jobs of a kind took.
+func (g *Grid) Latencies(kind int, from, to time.Duration) *hdrhistogram.Histogram {
 	h := hdrhistogram.New(1, int64(time.Minute/time.Millisecond), 3)
-	for r := range g.sent(kind, from, to) {
+	for r := range g.submitted(kind, from, to) {
 		if r.Answer.Outcome == job.Done {
-			// What a minute's histogram can't hold no caller waits for.
+			// No caller waits for over a minute, the histogram's limit.
 			_ = h.RecordValue(r.Took.Milliseconds())
 		}
 	}
--- a/internal/tool/grid/steps.go
+++ b/internal/tool/grid/steps.go
@@ -9,7 +9,7 @@
 	"dahliawinch/internal/plat/fakes"
 )
 
-// Declare puts a version of the configuration into the store; all say the same.
+// Declare puts a version of the configuration into the store; all versions have the same content.
 func (g *Grid) Declare(version int64) {
 	p := plan.Plan{Version: version}
 	for _, k := range g.Kinds {
@@ -19,27 +19,27 @@
 	g.Plans.Put(d.Key(), d)
 }
 
-// Cordon keeps new work from a failure domain's endpoints for a span. From a time after it was
-// declared the judge lets nothing start there.
-func (g *Grid) Cordon(domain string, within, span time.Duration) {
+// Cordon cordons a failure domain for a span. The judge reports starts on its endpoints that come
+// later than delay after the declaration.
+func (g *Grid) Cordon(domain string, delay, span time.Duration) {
 	d := plan.Decl{Cordon: domain}
 	g.Plans.Put(d.Key(), d)
-	from := time.Now().Add(within)
-	for _, id := range g.listed(domain) {
+	from := time.Now().Add(delay)
+	for _, id := range g.domainEndpoints(domain) {
 		g.Judge.Shut(id, from)
 	}
 	time.Sleep(span)
-	for _, id := range g.listed(domain) {
+	for _, id := range g.domainEndpoints(domain) {
 		g.Judge.Shut(id, time.Time{})
 	}
 	g.Plans.Remove(d.Key())
 }
 
-// listed are the ids of a failure domain's endpoints.
-func (g *Grid) listed(domain string) (ids []string) {
+// domainEndpoints returns the IDs of a failure domain's endpoints.
+func (g *Grid) domainEndpoints(domain string) (ids []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, id := range g.order {
+	for _, id := range g.endpointIDs {
 		if g.endpoints[id].Domain == domain {
 			ids = append(ids, id)
 		}
@@ -47,31 +47,31 @@
 	return ids
 }
 
-// reborn lets another life of a crashed endpoint come up.
-func (g *Grid) reborn(e *fakes.Leased) {
+// replaceEndpoint starts a new endpoint in place of a crashed one and removes the old entry later.
+func (g *Grid) replaceEndpoint(e *fakes.Leased) {
 	g.wg.Add(1)
 	go func() {
 		defer g.wg.Done()
-		time.Sleep(rebornAfter)
+		time.Sleep(replacedAfter)
 		e.Wake()
 		if g.ctx.Err() == nil {
 			g.AddEndpoint(e.Domain, e.Size.Cores)
 		}
-		time.Sleep(goneAfter - rebornAfter)
+		time.Sleep(removedAfter - replacedAfter)
 		g.Roster.Remove(e.ID)
 	}()
 }
 
-// Kill ends a VM without a word.
+// Kill ends a VM without notice to others.
 func (g *Grid) Kill(v *VM) {
-	v.ready.Store(false)
-	v.died = time.Now()
+	v.accepting.Store(false)
+	v.diedAt = time.Now()
 	v.dead.Store(true)
 	v.cancel()
 	v.Node.Close()
 }
 
-// KillDomain ends all VMs of a failure domain without a word.
+// KillDomain kills all VMs of a failure domain.
 func (g *Grid) KillDomain(domain string) {
 	for n := range g.VMs {
 		if v := g.VM(n); v.Domain == domain {
@@ -87,16 +87,16 @@
 	g.Boot(v.Mesh, v.Domain)
 }
 
-// Drain ends a VM as SIGTERM does and starts it again.
+// Drain ends a VM as SIGTERM does, and starts it again if asked to.
 func (g *Grid) Drain(v *VM, again bool) {
 	go func() {
-		time.Sleep(2 * time.Second) // the balancer notices at its second look
-		v.ready.Store(false)
+		time.Sleep(2 * time.Second) // the balancer notices at its second probe
+		v.accepting.Store(false)
 	}()
 	ctx, cancel := context.WithTimeout(g.ctx, 5200*time.Millisecond)
 	defer cancel()
 	v.Node.Drain(ctx)
-	time.Sleep(3 * between) // what was sent last is read
+	time.Sleep(3 * crossDomainDelay) // until the last messages are read
 	g.Kill(v)
 	if again {
 		g.Boot(v.Mesh, v.Domain)
@@ -106,13 +106,13 @@
 // Pause stops a VM for a while.
 func (g *Grid) Pause(v *VM, d time.Duration) { v.clock.pause(d) }
 
-// Cut stops all messages from one failure domain to another, or lets them pass again.
+// Cut cuts the path from one failure domain to another, or heals it.
 func (g *Grid) Cut(from, to string, cut bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	way := [2]string{from, to}
 	if g.cuts[way] && !cut {
-		g.heals[way] = time.Now().Add(meshlink.Heal)
+		g.healsAt[way] = time.Now().Add(meshlink.Heal)
 	}
 	g.cuts[way] = cut
 }
@@ -125,19 +125,19 @@
 			g.Cut(o, domain, cut)
 		}
 	}
-	g.Away(domain, cut)
+	g.CutStore(domain, cut)
 }
 
-// Away takes the store away from a failure domain or brings it back.
-func (g *Grid) Away(domain string, away bool) {
+// CutStore cuts a failure domain off from the store, or heals the cut.
+func (g *Grid) CutStore(domain string, away bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.away[domain] = away
+	g.storeCut[domain] = away
 }
 
-// Turn makes the store turn one VM away, or serve it again.
-func (g *Grid) Turn(v *VM, away bool) {
+// RejectVM makes the store reject one VM, or serve it again.
+func (g *Grid) RejectVM(v *VM, away bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.turned[v.Mesh] = away
+	g.rejected[v.Mesh] = away
 }
--- a/internal/tool/grid/trial_test.go
+++ b/internal/tool/grid/trial_test.go
@@ -14,14 +14,14 @@
 )
 
 var (
-	out    = flag.String("out", "", "folder for the reports of the trials, which are else not played")
-	trials = flag.Uint64("trials", 3, "plays of each case, with the seeds from 1")
+	out    = flag.String("out", "", "folder for the reports of the trials; without it they are skipped")
+	trials = flag.Uint64("trials", 3, "runs of each case, with the seeds from 1")
 )
 
-// full is how many of the users' jobs a second fill all endpoints.
-const full = 200
+// fullLoad is how many of the users' jobs a second fill all endpoints.
+const fullLoad = 200
 
-// trialSeeds are those of each case.
+// trialSeeds returns the seeds of each case.
 func trialSeeds() (all []uint64) {
 	for s := range *trials {
 		all = append(all, s+1)
@@ -29,23 +29,23 @@
 	return all
 }
 
-// each plays a setup with every seed.
-func each(t *testing.T, set Setup, see func(g *Grid, part float64)) {
+// simulateSeeds runs a setup with every seed.
+func simulateSeeds(t *testing.T, set Setup, see func(g *Grid, part float64)) {
 	t.Helper()
 	for _, s := range trialSeeds() {
 		set.Seed = s
-		see(play(t, set), 1/float64(*trials))
+		see(simulate(t, set), 1/float64(*trials))
 	}
 }
 
-func written(t *testing.T, r *trial.Report) {
+func writeReport(t *testing.T, r *trial.Report) {
 	t.Helper()
 	if err := r.Write(*out); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// Served, bound and response times against the load.
+// Reports the worth earned, its bound, and response times by load.
 func TestTrialsOfLoad(t *testing.T) {
 	if *out == "" {
 		t.Skip("played with -out")
@@ -56,7 +56,7 @@
 	}
 	times := trial.Table{Title: "Response times of done jobs", Case: "load"}
 	var lines []trial.Line
-	for _, k := range Three() {
+	for _, k := range UserKinds() {
 		for _, q := range []string{"p50", "p95", "p99"} {
 			times.Columns = append(times.Columns, trial.Column{Name: k.Name + " " + q, Unit: "ms"})
 		}
@@ -64,26 +64,26 @@
 	}
 	earned, bound, packed := trial.Line{Name: "earned"}, trial.Line{Name: "bound"}, trial.Line{Name: "packed"}
 	for _, load := range []float64{0.3, 0.5, 0.6, 0.7, 0.8, 0.9, 1, 1.2, 1.5, 2} {
-		set := Users(load * full)
-		from, to := set.Warm, set.Warm+set.Span
-		var got, most, whole float64
+		set := UserSetup(load * fullLoad)
+		from, to := set.Warmup, set.Warmup+set.Span
+		var got, upper, packedShare float64
 		var n Count
 		var took [3]*hdrhistogram.Histogram
-		each(t, set, func(g *Grid, part float64) {
+		simulateSeeds(t, set, func(g *Grid, part float64) {
 			got += part * g.Earned(from, to)
-			most += part * g.Bound(from, to, 1)
-			whole += part * g.Packed(from, to, to-from)[0]
-			n.Add(g.Counts(every, from, to))
+			upper += part * g.Bound(from, to, 1)
+			packedShare += part * g.Packed(from, to, to-from)[0]
+			n.Add(g.Counts(allKinds, from, to))
 			for k := range took {
-				h := g.Times(k, from, to)
+				h := g.Latencies(k, from, to)
 				if took[k] != nil {
 					h.Merge(took[k])
 				}
 				took[k] = h
 			}
 		})
-		name, asked := percent(load), float64(n.Asked)
-		ended.Add(name, got, whole, most, float64(n.InAim)/asked, float64(n.Late)/asked, float64(n.Refused)/asked, float64(n.Failed)/asked)
+		name, asked := formatLoad(load), float64(n.Asked)
+		ended.Add(name, got, packedShare, upper, float64(n.InTime)/asked, float64(n.Late)/asked, float64(n.Refused)/asked, float64(n.Failed)/asked)
 		var figures []float64
 		for k, h := range took {
 			figures = append(figures, float64(h.ValueAtQuantile(50)), float64(h.ValueAtQuantile(95)), float64(h.ValueAtQuantile(99)))
@@ -91,11 +91,11 @@
 		}
 		times.Add(name, figures...)
 		earned.Add(load, got)
-		bound.Add(load, most)
-		packed.Add(load, whole)
+		bound.Add(load, upper)
+		packed.Add(load, packedShare)
 	}
-	written(t, &trial.Report{
-		Name: "load", Title: "Served against load", Setup: "8 VMs, 48 endpoints in 4 failure domains, the users' three kinds of job, 12 s after 3 s of warming up; the bound is nobody's reach: all jobs known, tasks cut at will; packed is a scheduler that knows all jobs and puts whole tasks on whole endpoints", Seeds: trialSeeds(),
+	writeReport(t, &trial.Report{
+		Name: "load", Title: "Served against load", Setup: "8 VMs, 48 endpoints in 4 failure domains, the users' three kinds of job, 12 s after 3 s of warming up; the bound can't be reached: all jobs known beforehand, tasks cut at will; packed is a scheduler that knows all jobs and puts whole tasks on whole endpoints", Seeds: trialSeeds(),
 		Tables: []trial.Table{ended, times},
 		Plots: []trial.Plot{
 			{Name: "earned", Title: "Worth earned", X: "load, part of all cores", Y: "part of the worth asked for", Lines: []trial.Line{earned, packed, bound}},
@@ -104,9 +104,9 @@
 	})
 }
 
-func percent(x float64) string { return strconv.FormatFloat(x, 'f', 1, 64) }
+func formatLoad(x float64) string { return strconv.FormatFloat(x, 'f', 1, 64) }
 
-// What became of the worth that was not earned.
+// Reports why worth was lost, by kind of trouble.
 func TestTrialsOfLosses(t *testing.T) {
 	if *out == "" {
 		t.Skip("played with -out")
@@ -115,15 +115,15 @@
 		name string
 		set  func() Setup
 	}{
-		{"calm", func() Setup { return rated(nil) }},
-		{"burst of 1.8", func() Setup { return rated(burst(1.8, hit, hit+4*time.Second, urgent, long, plain)) }},
-		{"burst of 2.5", func() Setup { return rated(burst(2.5, hit, hit+4*time.Second, urgent, long, plain)) }},
-		{"burst of 2.5, plain alone", func() Setup { return rated(burst(2.5, hit, hit+4*time.Second, plain)) }},
-		{"an owner killed", func() Setup { return faulty(func(g *Grid) { g.Restart(g.Owner("fd-a"), time.Second) }) }},
-		{"all killed", func() Setup { return faulty(func(g *Grid) { g.KillAll(600 * time.Millisecond) }) }},
-		{"a domain cut off", func() Setup { return faulty(cutOff(3 * time.Second)) }},
-		{"an owner paused", func() Setup { return faulty(func(g *Grid) { g.Pause(g.Owner("fd-a"), 3*time.Second) }) }},
-		{"a rack lost", func() Setup { return faulty(rackLost) }},
+		{"calm", func() Setup { return withRate(nil) }},
+		{"burst of 1.8", func() Setup { return withRate(burst(1.8, faultAt, faultAt+4*time.Second, urgent, long, plain)) }},
+		{"burst of 2.5", func() Setup { return withRate(burst(2.5, faultAt, faultAt+4*time.Second, urgent, long, plain)) }},
+		{"burst of 2.5, plain alone", func() Setup { return withRate(burst(2.5, faultAt, faultAt+4*time.Second, plain)) }},
+		{"an owner killed", func() Setup { return withFault(func(g *Grid) { g.Restart(g.Owner("fd-a"), time.Second) }) }},
+		{"all killed", func() Setup { return withFault(func(g *Grid) { g.KillAll(600 * time.Millisecond) }) }},
+		{"a domain cut off", func() Setup { return withFault(cutOff(3 * time.Second)) }},
+		{"an owner paused", func() Setup { return withFault(func(g *Grid) { g.Pause(g.Owner("fd-a"), 3*time.Second) }) }},
+		{"a rack lost", func() Setup { return withFault(crashRack) }},
 	}
 	all := make([]map[string]float64, len(cases))
 	reasons := map[string]bool{}
@@ -132,8 +132,8 @@
 		lost := map[string]float64{}
 		line := trial.Line{Name: c.name}
 		steps := make([]float64, 24)
-		each(t, c.set(), func(g *Grid, part float64) {
-			for why, x := range g.Lost(hit, hit+5*time.Second) {
+		simulateSeeds(t, c.set(), func(g *Grid, part float64) {
+			for why, x := range g.LostWorth(faultAt, faultAt+5*time.Second) {
 				lost[why] += part * x
 				reasons[why] = true
 			}
@@ -163,23 +163,23 @@
 		}
 		table.Add(c.name, append(figures, sum)...)
 	}
-	written(t, &trial.Report{
+	writeReport(t, &trial.Report{
 		Name: "losses", Title: "What worth is lost to", Setup: "8 VMs, 48 endpoints in 4 failure domains, 0.55 of all cores asked for; trouble comes at second 5, bursts last 4 s", Seeds: trialSeeds(),
 		Tables: []trial.Table{table}, Plots: []trial.Plot{recovery},
 	})
 }
 
-// recoveryStep is the time over which a point of the recovery is taken.
+// recoveryStep is the time covered by one point of the recovery plot.
 const recoveryStep = 500 * time.Millisecond
 
-func rated(rate func(int, time.Duration) float64) Setup {
-	set := Users(110)
+func withRate(rate func(int, time.Duration) float64) Setup {
+	set := UserSetup(110)
 	set.Rate = rate
 	return set
 }
 
-// rackLost crashes six endpoints of which the list is told four seconds later.
-func rackLost(g *Grid) {
+// crashRack crashes six endpoints and removes them from the roster four seconds later.
+func crashRack(g *Grid) {
 	for n := range 6 {
 		g.Endpoint(n).Crash()
 	}
