--- a/internal/tool/grid/grid.go
+++ b/internal/tool/grid/grid.go
@@ -29,7 +29,7 @@
 	Kinds     []Kind
 	Load      float64 // jobs per second
 	Warmup    time.Duration
-	Span      time.Duration // measured after Warm
+	Span      time.Duration // measured after Warmup
 	Seed      uint64
 	// Rate returns the factor on the load of a kind at a time since the start; nil means 1
 	// throughout.
--- a/internal/tool/grid/judge.go
+++ b/internal/tool/grid/judge.go
@@ -127,7 +127,7 @@
 	delete(j.runStarts, task+"@"+ep)
 	for _, free := range j.freed[jobOf(task)] {
 		if startedAt.Before(free) && at.After(free.Add(resubmitAfter)) {
-			j.violations = append(j.violations, fmt.Sprintf("outlived: %s run %d on %s ended %s after its job was free to come again", task, num, ep, at.Sub(free)))
+			j.violations = append(j.violations, fmt.Sprintf("outlived: %s run %d on %s ended %s after its job could be submitted again", task, num, ep, at.Sub(free)))
 			return
 		}
 	}
@@ -200,7 +200,7 @@
 	defer j.mu.Unlock()
 	for task, eps := range j.running {
 		if len(eps) > 0 && jobOf(task) == id {
-			j.violations = append(j.violations, fmt.Sprintf("outlives: %s runs on %v when its caller comes again", task, eps))
+			j.violations = append(j.violations, fmt.Sprintf("outlives: %s runs on %v when its job is submitted again", task, eps))
 		}
 	}
 }
--- a/internal/tool/grid/judge_test.go
+++ b/internal/tool/grid/judge_test.go
@@ -14,7 +14,7 @@
 func TestJudgeDetectsRunThatOutlivesItsCaller(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		began time.Duration // after the caller was free to come again
+		began time.Duration // after the job could be submitted again
 		ended time.Duration
 		want  int
 	}{
--- a/internal/tool/grid/load.go
+++ b/internal/tool/grid/load.go
@@ -24,10 +24,10 @@
 type Kind struct {
 	Name  string
 	Rank  int
-	Share float64 // of all jobs
-	Width int     // mean number of tasks
-	Work  time.Duration
-	Worth float64 // of a job of mean size that is answered in time
+	Share float64       // of all jobs
+	Width int           // mean number of tasks
+	Work  time.Duration // mean run time of a task
+	Worth float64       // of a job of mean size that is answered in time
 	// Cores and Memory are the mean need of a task; zero stands for the users' 27 cores and next to
 	// no memory.
 	Cores, Memory float64
