--- a/internal/plat/agent/agent.go
+++ b/internal/plat/agent/agent.go
@@ -1,4 +1,4 @@
-// Package agent is what the system needs of a leased endpoint: start, stop and renew.
+// Package agent defines the calls to a leased endpoint: start, stop and renew.
 package agent
 
 import (
@@ -11,72 +11,72 @@
 	"dahliawinch/internal/task/lease"
 )
 
-// Target is one life of an endpoint.
+// Target is one instance of an endpoint.
 type Target struct {
 	ID   string
 	Addr netip.AddrPort
 }
 
-// Start orders a run.
+// Start requests the start of a run.
 type Start struct {
 	Name  lease.Name
 	Spec  string
-	Until int64 // lease asked for, on the endpoint's clock in milliseconds
+	Until int64 // requested end of the lease, on the endpoint's clock in milliseconds
 	Fence uint64
 }
 
-// Renew asks for ends and, if Until is set, renews the lease of all that runs there.
+// Renew requests the ended runs and, if Until is set, renews the lease of all runs on the endpoint.
 type Renew struct {
 	Until  int64 // 0 for no renewal
 	Fence  uint64
-	Cursor int64         // ends up to it are taken note of
-	Wait   time.Duration // for an end
+	Cursor int64         // ends up to this serial number are acknowledged
+	Wait   time.Duration // how long to wait for an end
 }
 
-// Agent reaches leased endpoints.
+// Agent calls leased endpoints.
 type Agent interface {
-	// Start returns nil when the run is there; a *RefusedError when it surely is not;
-	// ErrUnsent when nothing was sent; any other error leaves it open.
+	// Start returns nil if the run has been started, a *RefusedError if it certainly has not,
+	// and ErrUnsent if nothing was sent. After any other error it may have been.
 	Start(ctx context.Context, to Target, o Start) error
-	// Stop returns nil when the run will end and will surely never start any more; a
-	// *RefusedError when nothing was done, so that it may go on or start yet.
+	// Stop returns nil if the run will end and can never start later, and a *RefusedError if
+	// nothing was done, so that the run may continue or still start.
 	Stop(ctx context.Context, to Target, n lease.Name, fence uint64) error
-	// Renew returns what runs and what ended.
+	// Renew returns the running and the ended runs.
 	Renew(ctx context.Context, to Target, o Renew) (lease.Report, error)
-	// Reach returns nil if the endpoint can be reached; it orders nothing.
+	// Reach returns nil if the endpoint can be reached; it makes no request.
 	Reach(ctx context.Context, to Target) error
 	// Forget closes the connections to an endpoint that is no longer owned.
 	Forget(to Target)
 }
 
-// ErrUnsent means that no byte of an order left this VM.
+// ErrUnsent means that no byte of a request left this VM.
 var ErrUnsent = errors.New("endpoint unreachable, nothing sent")
 
-// Refusal says why an endpoint did not do what it was told.
+// Refusal is the reason why an endpoint refused a request.
 type Refusal uint8
 
 // The refusals.
 const (
-	NoRoom  Refusal = iota // it has less room than its owner thinks
-	Old                    // a later run was there already
-	Late                   // the lease asked for is over
+	NoRoom  Refusal = iota // it has less free capacity than its owner assumes
+	Old                    // a later run of the task was started or stopped before
+	Late                   // the requested lease has already expired
 	Fenced                 // another VM owns the endpoint
-	Ill                    // the endpoint says that it isn't healthy
-	Dead                   // another life answers there
-	Invalid                // the order is malformed
+	Ill                    // the endpoint reports itself unhealthy
+	Dead                   // another instance answers at the address
+	Invalid                // the request is malformed
 )
 
 var refusalNames = [...]string{"room", "old", "late", "fence", "ill", "dead", "invalid"}
 
 func (r Refusal) String() string { return refusalNames[r] }
 
-// RefusedError is an endpoint's word that it did nothing.
+// RefusedError is an endpoint's answer that it did nothing.
 type RefusedError struct{ Why Refusal }
 
 func (e *RefusedError) Error() string { return fmt.Sprintf("endpoint refused: %s", e.Why) }
 
-// Unanswered reports whether an order with this error may have been carried out, or may
-// yet be.
+// Unanswered reports whether a request that failed with err may have been carried out, or may
+// still be.
 func Unanswered(err error) bool {
 	var refused *RefusedError
 	return err != nil && !errors.As(err, &refused) && !errors.Is(err, ErrUnsent)
--- a/internal/plat/fakes/endpoint.go
+++ b/internal/plat/fakes/endpoint.go
@@ -10,42 +10,42 @@
 	"dahliawinch/internal/task/place"
 )
 
-// Reply is what the endpoint answers.
+// Reply is the endpoint's answer to a task.
 type Reply uint8
 
-// The replies.
+// Replies of an endpoint.
 const (
 	Good    Reply = iota // it ran
 	Broken               // it ran and failed
 	Full                 // not started: no slot is free
-	Leaves               // not started: the endpoint leaves
-	Malform              // not started: the body is no task
+	Leaves               // not started: the endpoint is leaving
+	Malform              // not started: the body is not a task
 )
 
-// Endpoint is the stand-in for one endpoint.
+// Endpoint is a fake endpoint.
 type Endpoint struct {
 	place.Info
 	witness Witness
 
-	mu      sync.Mutex
-	busy    int
-	dead    chan struct{}
-	failAll atomic.Bool
-	slow    atomic.Int64 // run times are multiplied by this percentage
-	leaving atomic.Bool
-	starts  atomic.Int64
-	worked  atomic.Int64 // slot time
-	lastAt  atomic.Int64
+	mu          sync.Mutex
+	busy        int
+	dead        chan struct{}
+	failAll     atomic.Bool
+	slowPercent atomic.Int64 // run times are multiplied by this percentage
+	leaving     atomic.Bool
+	starts      atomic.Int64
+	runTime     atomic.Int64 // total run time
+	lastStart   atomic.Int64
 }
 
 // NewEndpoint returns an idle endpoint.
 func NewEndpoint(in place.Info, w Witness) *Endpoint {
 	e := &Endpoint{Info: in, witness: w, dead: make(chan struct{})}
-	e.slow.Store(100)
+	e.slowPercent.Store(100)
 	return e
 }
 
-// Serve runs one task; died is closed when the endpoint dies in the middle.
+// Serve runs one task; died is closed if the endpoint dies during the run.
 func (e *Endpoint) Serve(body []byte) (r Reply, result []byte, died <-chan struct{}) {
 	var t Task
 	if json.Unmarshal(body, &t) != nil || t.Job == "" {
@@ -63,13 +63,13 @@
 	dead := e.dead
 	e.mu.Unlock()
 	e.starts.Add(1)
-	e.lastAt.Store(time.Now().UnixNano())
+	e.lastStart.Store(time.Now().UnixNano())
 	e.witness.Started(t.Job, t.Task)
-	run := t.Run.Std() * time.Duration(e.slow.Load()) / 100
+	run := t.Run.Std() * time.Duration(e.slowPercent.Load()) / 100
 	if e.failAll.Load() {
 		run = time.Millisecond
 	}
-	e.worked.Add(int64(run))
+	e.runTime.Add(int64(run))
 	select {
 	case <-dead:
 		return Broken, nil, dead
@@ -92,15 +92,15 @@
 func (e *Endpoint) FailAll(on bool) { e.failAll.Store(on) }
 
 // Slow multiplies run times by a percentage.
-func (e *Endpoint) Slow(percent int64) { e.slow.Store(percent) }
+func (e *Endpoint) Slow(percent int64) { e.slowPercent.Store(percent) }
 
-// Leave makes the endpoint refuse new work and say so.
+// Leave makes the endpoint refuse new tasks and announce that it leaves.
 func (e *Endpoint) Leave() { e.leaving.Store(true) }
 
 // Leaving reports whether Leave was called.
 func (e *Endpoint) Leaving() bool { return e.leaving.Load() }
 
-// Die ends the endpoint in the middle of whatever it runs.
+// Die ends the endpoint and interrupts its tasks.
 func (e *Endpoint) Die() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -130,16 +130,16 @@
 	e.dead, e.busy = make(chan struct{}), 0
 }
 
-// Starts is how many tasks started, LastStart when the last did.
+// Starts returns how many tasks have started.
 func (e *Endpoint) Starts() int64 { return e.starts.Load() }
 
-// LastStart is when the last task started.
-func (e *Endpoint) LastStart() time.Time { return time.Unix(0, e.lastAt.Load()) }
+// LastStart returns when the last task started.
+func (e *Endpoint) LastStart() time.Time { return time.Unix(0, e.lastStart.Load()) }
 
-// Worked is the slot time of all started tasks.
-func (e *Endpoint) Worked() time.Duration { return time.Duration(e.worked.Load()) }
+// Worked returns the total run time of all started tasks.
+func (e *Endpoint) Worked() time.Duration { return time.Duration(e.runTime.Load()) }
 
-// Addrs numbers addresses for stand-ins: all on loopback.
+// Addrs returns n loopback addresses for fakes.
 func Addrs(block byte, n int) []netip.AddrPort {
 	list := make([]netip.AddrPort, n)
 	for i := range list {
--- a/internal/plat/fakes/lane.go
+++ b/internal/plat/fakes/lane.go
@@ -8,35 +8,35 @@
 	"dahliawinch/internal/mesh/frame"
 )
 
-// Lane carries the messages of one VM to one incarnation of another, in order. Its room
-// grows with what is on its way: a channel long enough for a cut link would take
-// megabytes for each of some hundred links.
+// Lane carries the messages of one VM to one incarnation of another, in order. Its queue
+// grows on demand: a channel long enough for a broken link would take megabytes for each
+// of some hundred links.
 type Lane struct {
-	mu   sync.Mutex
-	way  []Parcel
-	wake chan struct{}
+	mu    sync.Mutex
+	queue []Parcel
+	wake  chan struct{}
 }
 
-// Parcel is a message on its way.
+// Parcel is a message in transit.
 type Parcel struct {
 	At  time.Time // when it arrives
 	Msg frame.Msg
 }
 
-// laneRoom is how many messages may be on their way; more count as no link.
-const laneRoom = 100_000
+// maxQueued bounds the messages in transit; beyond it the link counts as broken.
+const maxQueued = 100_000
 
-// NewLane returns a lane with nothing on its way.
+// NewLane returns an empty lane.
 func NewLane() *Lane { return &Lane{wake: make(chan struct{}, 1)} }
 
-// Put sends a message that arrives after a delay; false if too many are on their way.
+// Put sends a message that arrives after a delay; false if too many are in transit.
 func (l *Lane) Put(delay time.Duration, m frame.Msg) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.way) >= laneRoom {
+	if len(l.queue) >= maxQueued {
 		return false
 	}
-	l.way = append(l.way, Parcel{time.Now().Add(delay), m})
+	l.queue = append(l.queue, Parcel{time.Now().Add(delay), m})
 	select {
 	case l.wake <- struct{}{}:
 	default:
@@ -44,7 +44,7 @@
 	return true
 }
 
-// Run hands each message over when it arrives, until ctx ends.
+// Run calls hand for each message when it arrives, until ctx ends.
 func (l *Lane) Run(ctx context.Context, hand func(m frame.Msg)) {
 	for {
 		select {
@@ -65,12 +65,12 @@
 func (l *Lane) next() (p Parcel, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.way) == 0 {
-		l.way = nil
+	if len(l.queue) == 0 {
+		l.queue = nil
 		return p, false
 	}
-	p = l.way[0]
-	l.way[0] = Parcel{}
-	l.way = l.way[1:]
+	p = l.queue[0]
+	l.queue[0] = Parcel{}
+	l.queue = l.queue[1:]
 	return p, true
 }
--- a/internal/plat/fakes/leased.go
+++ b/internal/plat/fakes/leased.go
@@ -13,95 +13,95 @@
 	"dahliawinch/internal/task/lease"
 )
 
-// Work says how a task runs on a leased endpoint.
+// Work describes how a task runs on a leased endpoint.
 type Work struct {
 	Need job.Size
 	Run  time.Duration
-	Fail bool // it fails on whatever endpoint
-	// Crash says that it crashes whatever endpoint starts it.
+	Fail bool // it fails on every endpoint
+	// Crash makes it crash every endpoint that starts it.
 	Crash bool
 }
 
-// Board sees what leased endpoints do; the checker implements it.
+// Observer is notified of the runs on leased endpoints; the checker implements it.
 type Board interface {
-	// Work tells what a task is.
+	// Work returns the description of a task.
 	Work(task string) Work
 	Began(at time.Time, ep, task string, num int)
 	Over(at time.Time, ep, task string, num int, how lease.How)
 }
 
-// Manners are how a leased endpoint behaves.
+// Behavior is how a leased endpoint behaves.
 type Manners struct {
-	Slow  float64       // runs so many times longer; 0 for as usual
-	Fail  bool          // fails all it starts
-	Hang  bool          // what it starts stands still
-	Mute  bool          // reads orders and answers nothing
-	Late  float64       // share of orders that are carried out late and not answered
-	Delay time.Duration // by how much
-	Ill   bool          // refuses orders as unhealthy
+	Slow  float64       // factor of run times; 0 for the usual ones
+	Fail  bool          // every run fails
+	Hang  bool          // runs never finish
+	Mute  bool          // carries out requests without answering
+	Late  float64       // share of requests that are carried out late and not answered
+	Delay time.Duration // of the late requests
+	Ill   bool          // refuses requests as unhealthy
 }
 
-// Leased is the stand-in for an endpoint that runs tasks under leases.
+// Leased is a fake endpoint that runs tasks under leases.
 type Leased struct {
 	lease.Info
-	board  Board
-	limits lease.Limits
-	// Crashed is told when a task crashed the endpoint, which answers nothing from then on.
+	observer Board
+	limits   lease.Limits
+	// Crashed is called when a task crashes the endpoint, which answers no call from then on.
 	Crashed func()
 
-	mu      sync.Mutex
-	manners Manners
-	dead    bool
-	boot    time.Time
-	skew    time.Duration
-	fence   uint64
-	until   time.Time // of the lease of all that runs
-	runs    map[lease.Name]*running
-	past    map[string]int // highest run of a task that was stopped or ended
-	ends    []lease.Ended
-	serial  int64
-	news    chan struct{}
-	r       *rand.Rand
+	mu         sync.Mutex
+	behavior   Manners
+	dead       bool
+	boot       time.Time
+	skew       time.Duration
+	fence      uint64
+	until      time.Time // end of the lease of all runs
+	runs       map[lease.Name]*running
+	highestRun map[string]int // by task, the highest run that was stopped or ended
+	ends       []lease.Ended
+	serial     int64
+	ended      chan struct{}
+	r          *rand.Rand
 }
 
 type running struct {
-	began time.Time
-	takes time.Duration
-	need  job.Size
-	how   lease.How
-	timer *time.Timer
+	began    time.Time
+	duration time.Duration
+	need     job.Size
+	how      lease.How
+	timer    *time.Timer
 }
 
 // NewLeased returns an idle endpoint; its clock differs from ours by skew.
 func NewLeased(in lease.Info, limits lease.Limits, board Board, skew time.Duration, seed uint64) *Leased {
 	return &Leased{
-		Info: in, board: board, limits: limits, boot: time.Now(), skew: skew, runs: map[lease.Name]*running{},
-		past: map[string]int{}, news: make(chan struct{}), r: rand.New(rand.NewPCG(seed, 5)),
+		Info: in, observer: board, limits: limits, boot: time.Now(), skew: skew, runs: map[lease.Name]*running{},
+		highestRun: map[string]int{}, ended: make(chan struct{}), r: rand.New(rand.NewPCG(seed, 5)),
 	}
 }
 
-// Set changes the endpoint's manners.
+// Set changes the endpoint's behavior.
 func (e *Leased) Set(m Manners) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.manners = m
+	e.behavior = m
 }
 
-// Resize changes what the endpoint has room for; what runs goes on.
+// Resize changes the endpoint's capacity; current runs continue.
 func (e *Leased) Resize(s job.Size) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.Size = s
 }
 
-// Known is what the endpoint is known as, with the room that it has now.
+// CurrentInfo returns the endpoint's description with its current capacity.
 func (e *Leased) Known() lease.Info {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.Info
 }
 
-// Crash ends the endpoint and all that runs there; it reports false for one that had crashed before.
+// Crash ends the endpoint and all its runs; it returns false if the endpoint had crashed before.
 func (e *Leased) Crash() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -115,25 +115,25 @@
 	return true
 }
 
-// fall ends the endpoint as a task that crashes it does: whoever asks hears nothing until another
-// life answers at its address.
-func (e *Leased) fall() {
+// crashSilently ends the endpoint as a crashing task does: calls get no answer until another
+// instance answers at its address.
+func (e *Leased) crashSilently() {
 	if !e.Crash() {
 		return
 	}
 	e.mu.Lock()
-	e.manners.Mute = true
+	e.behavior.Mute = true
 	e.mu.Unlock()
 	if e.Crashed != nil {
 		e.Crashed()
 	}
 }
 
-// Wake lets calls to a dead endpoint be answered by another life at its address.
+// Wake lets another instance at its address answer the calls to a dead endpoint.
 func (e *Leased) Wake() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.manners.Mute = false
+	e.behavior.Mute = false
 }
 
 // Dead reports whether the endpoint crashed.
@@ -143,7 +143,7 @@
 	return e.dead
 }
 
-// Used is what runs here now.
+// Used returns the resources of the current runs.
 func (e *Leased) Used() (s job.Size) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -161,25 +161,25 @@
 
 func (e *Leased) clock() int64 { return (time.Since(e.boot) + e.skew + time.Hour).Milliseconds() }
 
-// errMute stands for a call that gets no answer.
-var errMute = errors.New("no answer")
+// errNoAnswer is returned for a call that gets no answer.
+var errNoAnswer = errors.New("no answer")
 
-// behave plays the endpoint's manners before an order is carried out.
+// behave applies the endpoint's behavior before a request is carried out.
 func (e *Leased) behave(ctx context.Context, late func()) error {
 	e.mu.Lock()
-	m := e.manners
+	m := e.behavior
 	lag := m.Late > 0 && e.r.Float64() < m.Late
 	e.mu.Unlock()
 	switch {
 	case m.Mute && e.Dead():
 		<-ctx.Done()
-		return errMute
+		return errNoAnswer
 	case m.Ill:
 		return &agent.RefusedError{Why: agent.Ill}
 	case lag:
 		time.AfterFunc(m.Delay, late)
 		<-ctx.Done()
-		return errMute
+		return errNoAnswer
 	default:
 		return nil
 	}
@@ -187,16 +187,16 @@
 
 func (e *Leased) answer(ctx context.Context) error {
 	e.mu.Lock()
-	mute := e.manners.Mute
+	mute := e.behavior.Mute
 	e.mu.Unlock()
 	if mute {
 		<-ctx.Done()
-		return errMute
+		return errNoAnswer
 	}
 	return nil
 }
 
-func (e *Leased) obey(fence uint64) error {
+func (e *Leased) checkFence(fence uint64) error {
 	if fence < e.fence {
 		return &agent.RefusedError{Why: agent.Fenced}
 	}
@@ -204,7 +204,7 @@
 	return nil
 }
 
-// Start carries out a start.
+// Start carries out a start request.
 func (e *Leased) Start(ctx context.Context, id string, o agent.Start) error {
 	if err := e.behave(ctx, func() { _ = e.start(id, o) }); err != nil {
 		return err
@@ -221,7 +221,7 @@
 	switch {
 	case e.dead || id != e.ID:
 		return &agent.RefusedError{Why: agent.Dead}
-	case e.obey(o.Fence) != nil:
+	case e.checkFence(o.Fence) != nil:
 		return &agent.RefusedError{Why: agent.Fenced}
 	case o.Until <= e.clock():
 		return &agent.RefusedError{Why: agent.Late}
@@ -230,10 +230,10 @@
 	if e.runs[o.Name] != nil {
 		return nil
 	}
-	if o.Name.Num <= e.past[o.Name.Task] {
+	if o.Name.Num <= e.highestRun[o.Name.Task] {
 		return &agent.RefusedError{Why: agent.Old}
 	}
-	w := e.board.Work(o.Name.Task)
+	w := e.observer.Work(o.Name.Task)
 	used := e.used()
 	if !w.Need.Fits(job.Size{Cores: e.Size.Cores - used.Cores, Memory: e.Size.Memory - used.Memory, Accels: e.Size.Accels - used.Accels}) {
 		return &agent.RefusedError{Why: agent.NoRoom}
@@ -243,23 +243,23 @@
 }
 
 func (e *Leased) begin(n lease.Name, w Work) {
-	r := &running{began: time.Now(), takes: w.Run, need: w.Need, how: lease.Done}
-	if e.manners.Slow > 0 {
-		r.takes = time.Duration(e.manners.Slow * float64(r.takes))
+	r := &running{began: time.Now(), duration: w.Run, need: w.Need, how: lease.Done}
+	if e.behavior.Slow > 0 {
+		r.duration = time.Duration(e.behavior.Slow * float64(r.duration))
 	}
-	if w.Fail || e.manners.Fail {
-		r.how, r.takes = lease.Failed, r.takes/10
+	if w.Fail || e.behavior.Fail {
+		r.how, r.duration = lease.Failed, r.duration/10
 	}
-	if e.manners.Hang {
-		r.takes = time.Hour
+	if e.behavior.Hang {
+		r.duration = time.Hour
 	}
 	e.runs[n] = r
-	e.board.Began(r.began, e.ID, n.Task, n.Num)
+	e.observer.Began(r.began, e.ID, n.Task, n.Num)
 	if w.Crash {
-		time.AfterFunc(r.takes/2, e.fall)
-		r.takes = time.Hour
+		time.AfterFunc(r.duration/2, e.crashSilently)
+		r.duration = time.Hour
 	}
-	r.timer = time.AfterFunc(r.takes, func() {
+	r.timer = time.AfterFunc(r.duration, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		if e.runs[n] == r {
@@ -268,29 +268,29 @@
 	})
 }
 
-// end takes a run off; the caller holds the lock.
+// end ends a run; the caller holds the lock.
 func (e *Leased) end(n lease.Name, how lease.How) {
 	r := e.runs[n]
 	r.timer.Stop()
 	delete(e.runs, n)
-	e.past[n.Task] = max(e.past[n.Task], n.Num)
+	e.highestRun[n.Task] = max(e.highestRun[n.Task], n.Num)
 	e.serial++
 	e.ends = append(e.ends, lease.Ended{Serial: e.serial, Name: n.Task, Num: n.Num, How: how})
-	e.board.Over(time.Now(), e.ID, n.Task, n.Num, how)
-	close(e.news)
-	e.news = make(chan struct{})
+	e.observer.Over(time.Now(), e.ID, n.Task, n.Num, how)
+	close(e.ended)
+	e.ended = make(chan struct{})
 }
 
-// extend renews the lease, which is at most the longest and never gets shorter.
+// extend renews the lease, which is at most limits.Hold long and never gets shorter.
 func (e *Leased) extend(until int64) {
 	left := min(time.Duration(until-e.clock())*time.Millisecond, e.limits.Hold)
 	if at := time.Now().Add(left); at.After(e.until) {
 		e.until = at
 	}
-	time.AfterFunc(time.Until(e.until)+time.Millisecond, e.lapse)
+	time.AfterFunc(time.Until(e.until)+time.Millisecond, e.expireLease)
 }
 
-func (e *Leased) lapse() {
+func (e *Leased) expireLease() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if time.Now().Before(e.until) {
@@ -301,7 +301,7 @@
 	}
 }
 
-// Stop carries out a stop.
+// Stop carries out a stop request.
 func (e *Leased) Stop(ctx context.Context, id string, n lease.Name, fence uint64) error {
 	if err := e.behave(ctx, func() { _ = e.stop(id, n, fence) }); err != nil {
 		return err
@@ -318,10 +318,10 @@
 	switch {
 	case e.dead || id != e.ID:
 		return &agent.RefusedError{Why: agent.Dead}
-	case e.obey(fence) != nil:
+	case e.checkFence(fence) != nil:
 		return &agent.RefusedError{Why: agent.Fenced}
 	}
-	e.past[n.Task] = max(e.past[n.Task], n.Num)
+	e.highestRun[n.Task] = max(e.highestRun[n.Task], n.Num)
 	if r := e.runs[n]; r != nil {
 		time.AfterFunc(e.limits.Stop/2, func() {
 			e.mu.Lock()
@@ -334,7 +334,7 @@
 	return nil
 }
 
-// Renew answers a renewal, waiting for an end if asked to.
+// Renew carries out a renewal and waits up to o.Wait for an ended run.
 func (e *Leased) Renew(ctx context.Context, id string, o agent.Renew) (lease.Report, error) {
 	if err := e.behave(ctx, func() {
 		e.mu.Lock()
@@ -355,7 +355,7 @@
 			e.mu.Unlock()
 			return r, e.answer(ctx)
 		}
-		news := e.news
+		news := e.ended
 		e.mu.Unlock()
 		o.Until = 0
 		t := time.NewTimer(time.Until(until))
@@ -364,7 +364,7 @@
 		case <-t.C:
 		case <-ctx.Done():
 			t.Stop()
-			return lease.Report{}, errMute
+			return lease.Report{}, errNoAnswer
 		}
 		t.Stop()
 	}
@@ -374,7 +374,7 @@
 	switch {
 	case e.dead || id != e.ID:
 		return &agent.RefusedError{Why: agent.Dead}
-	case e.obey(o.Fence) != nil:
+	case e.checkFence(o.Fence) != nil:
 		return &agent.RefusedError{Why: agent.Fenced}
 	}
 	e.ends = slices.DeleteFunc(e.ends, func(x lease.Ended) bool { return x.Serial <= o.Cursor })
@@ -388,8 +388,8 @@
 	r := lease.Report{Clock: e.clock(), Ended: slices.Clone(e.ends)}
 	for n, x := range e.runs {
 		done := 0
-		if !e.manners.Hang {
-			done = min(99, int(100*time.Since(x.began)/max(1, x.takes)))
+		if !e.behavior.Hang {
+			done = min(99, int(100*time.Since(x.began)/max(1, x.duration)))
 		}
 		r.Running = append(r.Running, lease.Listed{Name: n.Task, Num: n.Num, Percent: done})
 	}
--- a/internal/plat/fakes/leased_test.go
+++ b/internal/plat/fakes/leased_test.go
@@ -19,10 +19,10 @@
 func (board) Began(time.Time, string, string, int)           {}
 func (board) Over(time.Time, string, string, int, lease.How) {}
 
-// What happens: the soak reports a task that runs twice, on two lives of one endpoint. Why: an endpoint that
-// had crashed was crashed again before its next life came up, so that a third life took the place of the
-// second, which lived on. What showed it: "endpoint lost ... it refused a renewal: dead" of a life 1.2 s after
-// its first order, with four runs, while no fault had struck it; seed 2042.
+// The soak test reported a task that ran twice, on two instances of one endpoint. A crashed endpoint was
+// crashed again before its next instance started, so a third instance replaced the second, which kept running.
+// The log showed "endpoint lost ... it refused a renewal: dead" for an instance 1.2 s after its first request,
+// with four runs and without an injected fault; seed 2042.
 func TestEndpointCrashesOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/plat/fakes/list.go
+++ b/internal/plat/fakes/list.go
@@ -8,15 +8,15 @@
 	"dahliawinch/internal/plat/roster"
 )
 
-// List is the stand-in for the platform's lagging list.
+// List is a fake of the platform's lagging list.
 type List struct {
-	mu   sync.Mutex
-	lag  time.Duration
-	slow time.Duration // before each answer
-	past []stamped
+	mu       sync.Mutex
+	lag      time.Duration
+	slow     time.Duration // before each answer
+	versions []listVersion
 }
 
-type stamped struct {
+type listVersion struct {
 	at   time.Time
 	list roster.List
 }
@@ -24,14 +24,14 @@
 // NewList returns a list that shows its first contents at once and every later
 // one after the lag.
 func NewList(lag time.Duration, first roster.List) *List {
-	return &List{lag: lag, past: []stamped{{time.Time{}, first}}}
+	return &List{lag: lag, versions: []listVersion{{time.Time{}, first}}}
 }
 
 // Publish changes the contents.
 func (l *List) Publish(next roster.List) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.past = append(l.past, stamped{time.Now(), next})
+	l.versions = append(l.versions, listVersion{time.Now(), next})
 }
 
 // Slow delays all answers.
@@ -46,13 +46,13 @@
 	l.mu.Lock()
 	slow := l.slow
 	l.mu.Unlock()
-	if err := nap(ctx, slow); err != nil {
+	if err := sleep(ctx, slow); err != nil {
 		return roster.List{}, err
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	shown := l.past[0].list
-	for _, s := range l.past[1:] {
+	shown := l.versions[0].list
+	for _, s := range l.versions[1:] {
 		if time.Since(s.at) >= l.lag {
 			shown = s.list
 		}
--- a/internal/plat/fakes/log.go
+++ b/internal/plat/fakes/log.go
@@ -15,12 +15,12 @@
 	Rate   int           // appends a second; 0 for no limit
 	Synced time.Duration // time of a synced write
 	Keep   time.Duration // retention
-	Down   bool          // nothing works
+	Down   bool          // all calls fail
 	Slow   time.Duration // added to every call
-	Lose   float64       // part of appends whose answer is lost after they took effect
+	Lose   float64       // share of appends that take effect but whose answer is lost
 }
 
-// Log is the stand-in for one stream of the platform's log.
+// Log is a fake of one stream of the platform's log.
 type Log struct {
 	mu      sync.Mutex
 	rules   LogRules
@@ -45,7 +45,7 @@
 	l.grown = make(chan struct{})
 }
 
-// Appends is how many appends took effect.
+// Appends returns how many appends took effect.
 func (l *Log) Appends() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,7 +57,7 @@
 	l.mu.Lock()
 	rules := l.rules
 	l.mu.Unlock()
-	if err := nap(ctx, rules.Slow+rules.Synced); err != nil {
+	if err := sleep(ctx, rules.Slow+rules.Synced); err != nil {
 		return 0, fmt.Errorf("append: %w", ledger.ErrUnsure)
 	}
 	l.mu.Lock()
@@ -92,7 +92,7 @@
 	for {
 		p, grown, slow, err := l.page(from)
 		if err != nil || len(p.Records) > 0 {
-			if e := nap(ctx, slow); e != nil {
+			if e := sleep(ctx, slow); e != nil {
 				return ledger.Page{}, e
 			}
 			return p, err
@@ -122,7 +122,7 @@
 	return p, l.grown, l.rules.Slow, nil
 }
 
-// expire drops what is past the retention; the caller holds the lock.
+// expire drops records past the retention; the caller holds the lock.
 func (l *Log) expire(now time.Time) {
 	if l.rules.Keep <= 0 {
 		return
@@ -135,7 +135,7 @@
 	l.first += int64(n)
 }
 
-func nap(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return nil
 	}
--- a/internal/plat/fakes/serve.go
+++ b/internal/plat/fakes/serve.go
@@ -15,18 +15,18 @@
 	"dahliawinch/internal/plat/ledger"
 )
 
-// face is the HTTP side of a stand-in.
-func face(handle fasthttp.RequestHandler) *fasthttp.Server {
-	return &fasthttp.Server{Handler: handle, Name: "stand-in", CloseOnShutdown: true, MaxRequestBodySize: 32 << 20, Logger: quiet{}}
+// newServer returns the HTTP server of a fake.
+func newServer(handle fasthttp.RequestHandler) *fasthttp.Server {
+	return &fasthttp.Server{Handler: handle, Name: "stand-in", CloseOnShutdown: true, MaxRequestBodySize: 32 << 20, Logger: discardLogger{}}
 }
 
-// quiet drops the library's log lines about broken connections.
-type quiet struct{}
+// discardLogger drops the log lines of fasthttp about broken connections.
+type discardLogger struct{}
 
 // Printf implements fasthttp.Logger.
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
-// run serves until ctx ends, at once.
+// run serves until ctx ends, and then stops at once.
 func run(ctx context.Context, s *fasthttp.Server, l net.Listener) error {
 	stop := context.AfterFunc(ctx, func() {
 		short, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
@@ -50,14 +50,14 @@
 	ctx.SetBody(body)
 }
 
-// ServeEndpoint gives an endpoint its HTTP face until it dies or ctx ends.
+// ServeEndpoint serves an endpoint over HTTP until it dies or ctx ends.
 func ServeEndpoint(ctx context.Context, e *Endpoint, l net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	e.mu.Lock()
 	dead := e.dead
 	e.mu.Unlock()
-	conns := &tracked{Listener: l, open: map[net.Conn]bool{}}
+	conns := &trackedListener{Listener: l, open: map[net.Conn]bool{}}
 	go func() {
 		select {
 		case <-dead:
@@ -66,7 +66,7 @@
 		case <-ctx.Done():
 		}
 	}()
-	s := face(func(c *fasthttp.RequestCtx) {
+	s := newServer(func(c *fasthttp.RequestCtx) {
 		if e.Leaving() {
 			c.Response.Header.Set("X-Leaving", "yes")
 		}
@@ -93,14 +93,14 @@
 	return run(ctx, s, conns)
 }
 
-// tracked closes open connections with the endpoint that dies.
-type tracked struct {
+// trackedListener tracks open connections, to close them when the endpoint dies.
+type trackedListener struct {
 	net.Listener
 	mu   sync.Mutex
 	open map[net.Conn]bool
 }
 
-func (t *tracked) Accept() (net.Conn, error) {
+func (t *trackedListener) Accept() (net.Conn, error) {
 	c, err := t.Listener.Accept()
 	if err != nil {
 		return nil, err //nolint:wrapcheck // a listener's own error
@@ -111,7 +111,7 @@
 	return &trackedConn{c, t}, nil
 }
 
-func (t *tracked) closeAll() {
+func (t *trackedListener) closeAll() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	_ = t.Close()
@@ -122,7 +122,7 @@
 
 type trackedConn struct {
 	net.Conn
-	t *tracked
+	t *trackedListener
 }
 
 func (c *trackedConn) Close() error {
@@ -132,9 +132,9 @@
 	return c.Conn.Close() //nolint:wrapcheck // the connection's own error
 }
 
-// ServeList gives the list its HTTP face.
+// ServeList serves the list over HTTP.
 func ServeList(ctx context.Context, list *List, l net.Listener) error {
-	return run(ctx, face(func(c *fasthttp.RequestCtx) {
+	return run(ctx, newServer(func(c *fasthttp.RequestCtx) {
 		now, err := list.List(c)
 		if err != nil {
 			c.Error(err.Error(), fasthttp.StatusServiceUnavailable)
@@ -144,14 +144,14 @@
 	}), l)
 }
 
-// Streams are the streams of the log stand-in by name.
+// Streams holds the streams of the fake log by name.
 type Streams struct {
 	mu    sync.Mutex
 	rules LogRules
 	all   map[string]*Log
 }
 
-// NewStreams returns a log whose streams appear as they are named.
+// NewStreams returns a log that creates each stream on first use.
 func NewStreams(rules LogRules) *Streams { return &Streams{rules: rules, all: map[string]*Log{}} }
 
 // Get returns one stream.
@@ -164,9 +164,9 @@
 	return s.all[name]
 }
 
-// ServeLog gives the log its HTTP face.
+// ServeLog serves the log over HTTP.
 func ServeLog(ctx context.Context, streams *Streams, l net.Listener) error {
-	return run(ctx, face(func(c *fasthttp.RequestCtx) {
+	return run(ctx, newServer(func(c *fasthttp.RequestCtx) {
 		name, ok := strings.CutPrefix(string(c.Path()), "/streams/")
 		if !ok {
 			c.SetStatusCode(fasthttp.StatusNotFound)
--- a/internal/plat/fakes/task.go
+++ b/internal/plat/fakes/task.go
@@ -1,5 +1,5 @@
-// Package fakes has small stand-ins for what the system meets: endpoints, the
-// log, the list. Each has a core that works in virtual time and a thin HTTP face.
+// Package fakes has small fakes of the platform's parts: endpoints, the log, the list.
+// They work in virtual time; some can also be served over HTTP.
 package fakes
 
 import (
@@ -9,7 +9,7 @@
 	"dahliawinch/internal/conf/valid"
 )
 
-// Task is the body of a task that the endpoint stand-in understands.
+// Task is the body of a task that the fake endpoint understands.
 type Task struct {
 	Job  string     `json:"job"`
 	Task int        `json:"task"`
@@ -32,7 +32,7 @@
 	Task int    `json:"task"`
 }
 
-// Witness sees every start of a task; the checker implements it.
+// Witness is notified of every start of a task; the checker implements it.
 type Witness interface {
 	Started(job string, task int)
 }
--- a/internal/plat/fakes/topic.go
+++ b/internal/plat/fakes/topic.go
@@ -9,10 +9,10 @@
 	"dahliawinch/internal/plat/feed"
 )
 
-// ErrStore is what a stand-in for the store answers while it is away.
-var ErrStore = errors.New("store away")
+// ErrStore is returned by a Topic while it is unavailable.
+var ErrStore = errors.New("store unavailable")
 
-// Topic is the stand-in for one keyed topic of the store.
+// Topic is a fake of one keyed topic of the store.
 type Topic[T any] struct {
 	mu    sync.Mutex
 	all   []feed.Update[T]
@@ -24,7 +24,7 @@
 // NewTopic returns an empty topic.
 func NewTopic[T any]() *Topic[T] { return &Topic[T]{grown: make(chan struct{})} }
 
-// Down takes the topic away or brings it back.
+// Down makes the topic unavailable or available again.
 func (t *Topic[T]) Down(down bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -45,7 +45,7 @@
 	t.grown = make(chan struct{})
 }
 
-// Compact forgets the history: reads from before it fail.
+// Compact drops the history: reads from older offsets fail.
 func (t *Topic[T]) Compact() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -71,11 +71,10 @@
 	return us, int64(len(t.all)), nil
 }
 
-// RecordBytes is what a record of a stand-in's topic counts for: an endpoint's report takes as
-// much.
+// RecordBytes is the assumed size of a record, about that of an endpoint's report.
 const RecordBytes = 350
 
-// bound is the end of a read from a place that may bring so many bytes.
+// bound returns the end offset of a read from an offset on that is limited to some bytes.
 func (t *Topic[T]) bound(from int64, bytes int) int64 {
 	end := int64(len(t.all))
 	if bytes <= 0 {
--- a/internal/plat/feed/feed.go
+++ b/internal/plat/feed/feed.go
@@ -1,5 +1,5 @@
-// Package feed follows what the platform's store keeps under keys: the configuration,
-// the endpoints, the entry VMs. What was heard stays in force while the store is away.
+// Package feed follows the keyed topics of the platform's store: the configuration, the
+// endpoints, the entry VMs. The last state read stays valid while the store is unavailable.
 package feed
 
 import (
@@ -10,58 +10,58 @@
 	"time"
 )
 
-// ErrGone is returned by Next when records were dropped that were not read yet.
-var ErrGone = errors.New("records are gone that were not read")
+// ErrGone is returned by Next if the store dropped records that were not read yet.
+var ErrGone = errors.New("unread records were dropped")
 
-// Update is the newest word on one key.
+// Update is a new record of one key.
 type Update[T any] struct {
 	Key   string
 	Value T
 	Gone  bool  // the key was removed
-	Err   error // the record can't be read, or says too little to be used
+	Err   error // the record can't be decoded or lacks required fields
 }
 
-// Source gives the records of one topic, decoded.
+// Source reads and decodes the records of one topic.
 type Source[T any] interface {
-	// Newest returns the newest record of each key, and where to read on.
+	// Newest returns the newest record of each key, and the offset to read next.
 	Newest(ctx context.Context) (all []Update[T], next int64, err error)
-	// Next returns what was added from a place on.
+	// Next returns the records added from an offset on.
 	Next(ctx context.Context, from int64, a Ask) (Batch[T], error)
 }
 
-// Ask bounds one read of what was added.
+// ReadOptions bounds one call of Source.Next.
 type Ask struct {
-	Wait time.Duration // for the first record
-	Most int           // bytes of records, but for one that is larger
+	Wait time.Duration // how long to wait for the first record
+	Most int           // of records; 0 for no bound
 }
 
-// Batch is what one read brought.
+// Batch is the result of one read.
 type Batch[T any] struct {
 	All  []Update[T]
-	Next int64 // where to read on
-	End  int64 // of the topic: there is more if it is beyond Next
+	Next int64 // offset to read next
+	End  int64 // of the topic; there is more if it is beyond Next
 }
 
-// Portion is how much one read of the endpoints asks for, in bytes.
+// EndpointReadBytes bounds one read of the endpoints, in bytes.
 //
-// What goes wrong without it: a VM that could not reach the store for some seconds asks for all
-// that was added meanwhile. A link of 2 Mbit/s carries 150 KB in the time that a call may take; if
-// there is more, no read ever ends, each takes the whole link from orders and heartbeats, and the
-// backlog grows. One notices a VM that others hear by turns, long after the store is back. A portion
-// takes 0.26 s of such a link. 18 VMs, a third of them turned away by the store for 9 s: worth
-// 0.431 to 0.514 (one played day).
+// Without it, a VM that could not reach the store for some seconds requests the whole backlog. A
+// link of 2 Mbit/s carries 150 KB within a call's timeout; with more, no read ever completes, each
+// takes the link from task requests and heartbeats, and the backlog grows, so that other VMs get
+// this VM's heartbeats only at times, long after the store is back. A read of this size takes
+// 0.26 s of such a link. With 18 VMs, a third of them refused by the store for 9 s, it raised the
+// score from 0.431 to 0.514 (one simulated day).
 const Portion = 64 << 10
 
-// Pace says how often a source is read.
+// Pace is how often and in what amounts a source is read.
 type Pace struct {
-	Wait  time.Duration // how long one read may wait for news
-	Pause time.Duration // between two reads; calls to the store are priced
+	Wait  time.Duration // how long one read may wait for a record
+	Pause time.Duration // between two reads; calls to the store cost
 	Most  int           // bytes of one read, 0 for no bound
-	// Rest, if set, takes the place of Pause once the source was followed for Settle.
+	// SettledPause, if set, replaces Pause once the source has been followed for Settle.
 	Rest, Settle time.Duration
 }
 
-// pause is the time between two reads at an age of the follower.
+// pause returns the time between two reads for a follower of the given age.
 func (p Pace) pause(age time.Duration) time.Duration {
 	if p.Rest > 0 && age > p.Settle {
 		return p.Rest
@@ -70,37 +70,37 @@
 }
 
 const (
-	// backLeast and backMost bound the pause after a failed read. A store that turns
-	// some VMs away and serves others is found again soon.
-	backLeast = 100 * time.Millisecond
-	backMost  = 800 * time.Millisecond
+	// minBackoff and maxBackoff bound the pause after a failed read. They are short so
+	// that a VM returns soon to a store that refuses some VMs while it serves others.
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 800 * time.Millisecond
 )
 
-// Follower keeps a copy of a source fresh.
+// Follower keeps a copy of a source up to date.
 type Follower[T any] struct {
 	Name   string
 	Source Source[T]
 	Pace   Pace
 	Log    *slog.Logger
-	// Apply takes updates in; whole says that keys which are missing are gone. A key whose
-	// record is of no use comes as gone.
+	// Apply applies updates to the copy; if whole is set, all missing keys are gone. A key
+	// with an unusable record is passed as gone.
 	Apply func(updates []Update[T], whole bool)
-	// Heard is called after each good read.
-	Heard func()
-	most  int               // bytes of the next read
-	bad   map[string]string // keys whose records are of no use, and why
+	// OnRead is called after each successful read.
+	Heard    func()
+	maxBytes int               // bound of the next read
+	unusable map[string]string // keys with unusable records, and the errors
 }
 
-// mostBad bounds the keys with useless records that are remembered; beyond it one may be
-// logged again.
-const mostBad = 1024
+// maxUnusable bounds the number of keys with unusable records that are remembered; beyond it a
+// record may be logged again.
+const maxUnusable = 1024
 
 // Run follows until ctx ends.
 func (f *Follower[T]) Run(ctx context.Context) {
 	var next int64
 	known, down := false, false
-	back, start := backLeast, time.Now()
-	f.most = f.Pace.Most
+	backoff, start := minBackoff, time.Now()
+	f.maxBytes = f.Pace.Most
 	for ctx.Err() == nil {
 		began := time.Now()
 		more, err := f.read(ctx, &known, &next)
@@ -111,16 +111,16 @@
 			continue
 		case err != nil && ctx.Err() == nil:
 			if !down {
-				f.Log.Warn("store lost", "feed", f.Name, "err", err, "from", next)
+				f.Log.Warn("store unreachable", "feed", f.Name, "err", err, "from", next)
 			}
 			down = true
-			pause(ctx, back/2+rand.N(back))
-			back = min(2*back, backMost)
+			pause(ctx, backoff/2+rand.N(backoff))
+			backoff = min(2*backoff, maxBackoff)
 			continue
 		case down:
-			f.Log.Info("store back", "feed", f.Name, "from", next)
+			f.Log.Info("store reachable again", "feed", f.Name, "from", next)
 		}
-		down, back = false, backLeast
+		down, backoff = false, minBackoff
 		f.Heard()
 		if more {
 			continue
@@ -129,7 +129,7 @@
 	}
 }
 
-// read reads once and reports whether there is more to read at once.
+// read reads once and reports whether more records are available already.
 func (f *Follower[T]) read(ctx context.Context, known *bool, next *int64) (more bool, err error) {
 	if !*known {
 		all, at, err := f.Source.Newest(ctx)
@@ -140,13 +140,13 @@
 		f.apply(all, true)
 		return false, nil
 	}
-	b, err := f.Source.Next(ctx, *next, Ask{Wait: f.Pace.Wait, Most: f.most})
+	b, err := f.Source.Next(ctx, *next, Ask{Wait: f.Pace.Wait, Most: f.maxBytes})
 	if err != nil {
 		return false, err
 	}
-	f.most = f.Pace.Most
-	if b.Next == *next && b.Next < b.End { // a record larger than the bound must not hold up the others
-		f.most = 0
+	f.maxBytes = f.Pace.Most
+	if b.Next == *next && b.Next < b.End { // a record larger than the bound must not block the others
+		f.maxBytes = 0
 	}
 	more = b.Next > *next && b.Next < b.End
 	*next = b.Next
@@ -156,32 +156,32 @@
 	return more, nil
 }
 
-// apply passes on what could be read. One record that can't be must not hold up the
-// others: whoever wrote it goes on writing.
+// apply calls Apply and marks unusable records as gone. One unusable record must not block
+// the others, since its writer may keep writing it.
 func (f *Follower[T]) apply(us []Update[T], whole bool) {
 	for i := range us {
 		u := &us[i]
 		if u.Err == nil {
-			delete(f.bad, u.Key)
+			delete(f.unusable, u.Key)
 			continue
 		}
-		f.warn(u)
+		f.logUnusable(u)
 		*u = Update[T]{Key: u.Key, Gone: true}
 	}
 	f.Apply(us, whole)
 }
 
-// warn logs a useless record once, however often it is read or written again.
-func (f *Follower[T]) warn(u *Update[T]) {
+// logUnusable logs an unusable record once, however often it is read or written again.
+func (f *Follower[T]) logUnusable(u *Update[T]) {
 	why := u.Err.Error()
-	if f.bad[u.Key] == why {
+	if f.unusable[u.Key] == why {
 		return
 	}
-	if f.bad == nil || len(f.bad) >= mostBad {
-		f.bad = map[string]string{}
+	if f.unusable == nil || len(f.unusable) >= maxUnusable {
+		f.unusable = map[string]string{}
 	}
-	f.bad[u.Key] = why
-	f.Log.Warn("record of no use", "feed", f.Name, "key", u.Key, "err", u.Err)
+	f.unusable[u.Key] = why
+	f.Log.Warn("unusable record", "feed", f.Name, "key", u.Key, "err", u.Err)
 }
 
 func pause(ctx context.Context, d time.Duration) {
--- a/internal/plat/feed/feed_test.go
+++ b/internal/plat/feed/feed_test.go
@@ -14,9 +14,8 @@
 	"dahliawinch/internal/plat/feed"
 )
 
-// Symptom: a change is never seen, or what is gone stays. Sequence: the store is away,
-// keeps its history for less long than that, and comes back. Cause: reading goes on from
-// a place that is gone, or what was dropped meanwhile is not noticed.
+// After an outage longer than the store's retention, a change was never seen or a removed key
+// stayed: reading went on from a dropped offset, or keys removed meanwhile were not noticed.
 func TestFollowerSurvivesOutageAndLostHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -49,7 +48,7 @@
 		topic.Down(true)
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
-		is.Equal(len(state), 2) // what was heard stays in force
+		is.Equal(len(state), 2) // the last state read stays valid
 		topic.Remove("a")
 		topic.Put("b", 3)
 		topic.Compact()
--- a/internal/plat/feed/narrow_test.go
+++ b/internal/plat/feed/narrow_test.go
@@ -19,8 +19,7 @@
 
 var errTimeout = errors.New("timeout")
 
-// narrow is a source behind a link of so many bytes a second, on which a call is given up after
-// a while.
+// narrow is a source behind a link of rate bytes a second, on which calls time out after limit.
 type narrow struct {
 	*fakes.Topic[int]
 	rate  int
@@ -38,11 +37,10 @@
 	return b, err
 }
 
-// Symptom: VMs with links of 2 Mbit/s are heard by turns for half a minute after the store had
-// turned them away for nine seconds; six of 18 own endpoints, and a sixth of all jobs is late.
-// Sequence: 90 endpoints report each 1.5 s meanwhile; a read asks for all of it. Cause: the answer
-// takes longer than the call may, so it is thrown away and asked for again, with what has come
-// since.
+// The store refused VMs with links of 2 Mbit/s for 9 s, while 90 endpoints reported every 1.5 s.
+// Each read then requested the whole backlog, timed out, and was repeated with the records added
+// since. For half a minute the VMs' heartbeats arrived only at times; six of 18 VMs owned endpoints,
+// and a sixth of all jobs was late.
 func TestBacklogIsReadThroughANarrowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -69,7 +67,7 @@
 	})
 }
 
-// report adds so many records a second.
+// report adds rate records a second.
 func report(ctx context.Context, topic *fakes.Topic[int], rate int) {
 	for i := 0; ctx.Err() == nil; i++ {
 		topic.Put("k", i)
@@ -77,13 +75,12 @@
 	}
 }
 
-// Symptom: nothing that is added after one large record is ever heard. Sequence: another writer
-// adds a record that is larger than a read asks for. Cause: the answer brings nothing, and the
-// same is asked for again.
-func TestRecordLargerThanAReadHoldsUpNoOthers(t *testing.T) {
+// Another writer added a record larger than the bound of a read. The response held no record and
+// the same read was repeated, so no later record was ever read.
+func TestRecordLargerThanAReadBlocksNoOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		src := &stuck{Topic: fakes.NewTopic[int]()}
+		src := &emptySource{Topic: fakes.NewTopic[int]()}
 		var seen atomic.Int64
 		f := feed.Follower[int]{
 			Name: "test", Source: src, Pace: feed.Pace{Pause: 100 * time.Millisecond, Most: 1}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
@@ -103,10 +100,10 @@
 	})
 }
 
-// stuck is a source that gives nothing to who asks for little.
-type stuck struct{ *fakes.Topic[int] }
+// emptySource is a source that returns no records to bounded reads.
+type emptySource struct{ *fakes.Topic[int] }
 
-func (s *stuck) Next(ctx context.Context, from int64, a feed.Ask) (feed.Batch[int], error) {
+func (s *emptySource) Next(ctx context.Context, from int64, a feed.Ask) (feed.Batch[int], error) {
 	b, err := s.Topic.Next(ctx, from, a)
 	if a.Most > 0 {
 		b.All, b.Next = nil, from
--- a/internal/plat/feed/relay.go
+++ b/internal/plat/feed/relay.go
@@ -7,87 +7,87 @@
 	"time"
 )
 
-// Post is what one VM read of a topic, for others to take over: all news from one place
-// to another.
+// Post holds the updates of a topic that one VM read from the store, between two offsets,
+// for other VMs to apply.
 type Post[T any] struct {
 	From, To int64
 	All      []Update[T]
-	Whole    bool // all that is known at To, whatever was read before
+	Whole    bool // a full copy of the topic at To
 }
 
-// mostPosts is how many posts wait to be taken over; if one is dropped, its reader finds
-// the gap and reads for itself.
-const mostPosts = 16
+// maxPosts bounds the queue of received posts. If one is dropped, the receiver notices the
+// gap and reads the store itself.
+const maxPosts = 16
 
-// Relay is a source of which one VM of a neighbourhood reads for all. Calls to the store
-// and its records would else grow with the number of VMs, most of which learn nothing new.
+// Relay is a source that one VM of a group, the reader, reads for all of them. Otherwise the
+// calls to the store would grow with the number of VMs, most of which would read nothing new.
 //
-// What may go wrong: the VM that reads is lost, or cut off from the store, and the others
-// hear no more of a change. They notice that its posts stay out, and read for themselves.
+// If the reader is lost, or cut off from the store, the others get no posts within PostTimeout
+// and read the store themselves.
 type Relay[T any] struct {
 	Source[T]
-	// Reads reports whether this VM reads for the others now. Views differ: two may read,
-	// which costs calls, or none, which costs Patience.
+	// IsReader reports whether this VM is the reader now. VMs may disagree: two readers cost
+	// extra calls, none costs PostTimeout.
 	Reads func() bool
-	// Share passes a post on.
+	// Share sends a post to the other VMs.
 	Share func(p Post[T])
-	// Same reports whether a record says nothing new; such a record is not passed on.
+	// Equal reports whether a record equals the one before; such a record is not passed on.
 	Same func(was, is T) bool
-	// Patience is how long this VM does without a post before it reads in its reader's
-	// place. It should differ from VM to VM: what the first one reads is passed on, and the
-	// others need not read it as well.
+	// PostTimeout is how long this VM waits for a post before it reads in the reader's place.
+	// It should differ from VM to VM: the first one to read passes its result on, so that
+	// the others need not read as well.
 	Patience func() time.Duration
-	// Alone is told from where this VM reads in its reader's place.
+	// OnFallback is called with the offset from which this VM reads in the reader's place.
 	Alone func(from int64)
-	// Ask asks another VM for its copy of the topic, which comes as a whole post; false if
-	// there is none to ask yet.
+	// RequestCopy asks another VM for its copy of the topic, which arrives as a whole post; false
+	// if no VM is known yet.
 	Ask func() bool
-	// Reached is told of each call to the store whether it was answered.
+	// OnCall is called after each call to the store; ok is whether the store answered.
 	Reached func(ok bool)
-	// Waits reports whether a VM that knows nothing yet waits on for a copy after some time.
-	// What 180 VMs that start at once read of the store is more than it gives in seconds.
+	// KeepWaiting reports whether a VM without any copy keeps waiting for one after some time.
+	// 180 VMs that start at once would read more than the store delivers in seconds.
 	Waits func(after time.Duration) bool
 
 	posts chan Post[T]
 	// Only the follower's goroutine uses these.
-	late   time.Duration // how much longer than it was to wait the last read took
-	least  int64         // a copy from before is of no use: the store has dropped what follows it
-	copied bool          // what is known is another VM's copy, not yet held against the store
+	excessLatency time.Duration // time that the last read took beyond its Wait
+	minCopyOffset int64         // older copies are useless: the store has dropped the records after them
+	unverified    bool          // the state is another VM's copy, and the store has not been read since
 
-	mu   sync.Mutex // guards what is copied
-	last map[string]T
-	at   int64 // place up to which last is known; negative before the first read
+	mu     sync.Mutex // guards values and offset
+	values map[string]T
+	offset int64 // up to which values is current; negative before the first read
 }
 
-// askEvery is the time from the first question for a copy to the second, longer than a copy of some
-// thousand records takes; it doubles with each.
-const askEvery = 250 * time.Millisecond
+// askInterval is the time between the first and the second request for a copy, longer than the
+// transfer of some thousand records takes. It doubles with each request.
+const askInterval = 250 * time.Millisecond
 
-// waitLook is how often a VM that waits for a copy looks whether that is still better than
-// reading, or somebody to ask has been heard.
-const waitLook = 20 * time.Millisecond
+// copyPoll is how often a VM that waits for a copy checks whether to keep waiting, and whether
+// it knows a VM to ask.
+const copyPoll = 20 * time.Millisecond
 
-// Init makes a relay ready for posts.
+// Init prepares the relay to receive posts, and returns it.
 func (r *Relay[T]) Init() *Relay[T] {
-	r.posts, r.last, r.at = make(chan Post[T], mostPosts), map[string]T{}, -1
+	r.posts, r.values, r.offset = make(chan Post[T], maxPosts), map[string]T{}, -1
 	return r
 }
 
-// Copy is all that is known here, for another VM; false before the first read.
+// Copy returns the whole state as a post for another VM; false before the first read.
 func (r *Relay[T]) Copy() (p Post[T], ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.at < 0 {
+	if r.offset < 0 {
 		return p, false
 	}
-	p = Post[T]{To: r.at, Whole: true}
-	for k, v := range r.last {
+	p = Post[T]{To: r.offset, Whole: true}
+	for k, v := range r.values {
 		p.All = append(p.All, Update[T]{Key: k, Value: v})
 	}
 	return p, true
 }
 
-// Deliver takes in another VM's post.
+// Deliver queues another VM's post.
 func (r *Relay[T]) Deliver(p Post[T]) {
 	select {
 	case r.posts <- p:
@@ -97,56 +97,56 @@
 
 // Newest implements Source.
 func (r *Relay[T]) Newest(ctx context.Context) ([]Update[T], int64, error) {
-	if p, ok := r.whole(ctx); ok {
-		r.copied = true
-		return r.anew(p.All, p.To), p.To, nil
+	if p, ok := r.fetchCopy(ctx); ok {
+		r.unverified = true
+		return r.replaceAll(p.All, p.To), p.To, nil
 	}
 	all, next, err := r.Source.Newest(ctx)
-	r.reached(ctx, err)
+	r.reportCall(ctx, err)
 	if err != nil {
 		return nil, 0, err
 	}
-	r.copied = false
-	return r.anew(all, next), next, nil
+	r.unverified = false
+	return r.replaceAll(all, next), next, nil
 }
 
-// anew takes a whole topic over.
-func (r *Relay[T]) anew(all []Update[T], at int64) []Update[T] {
+// replaceAll replaces the state by a full copy of the topic.
+func (r *Relay[T]) replaceAll(all []Update[T], at int64) []Update[T] {
 	r.mu.Lock()
-	clear(r.last)
+	clear(r.values)
 	r.mu.Unlock()
-	r.news(all, at)
+	r.changed(all, at)
 	return all
 }
 
-// whole asks for a copy, and waits for it as long as that is better than reading.
-func (r *Relay[T]) whole(ctx context.Context) (p Post[T], ok bool) {
-	began, asked, again := time.Now(), time.Time{}, askEvery
+// fetchCopy requests a copy, and waits for it as long as KeepWaiting says so.
+func (r *Relay[T]) fetchCopy(ctx context.Context) (p Post[T], ok bool) {
+	began, asked, interval := time.Now(), time.Time{}, askInterval
 	for ctx.Err() == nil {
-		if time.Since(asked) >= again && r.Ask() {
+		if time.Since(asked) >= interval && r.Ask() {
 			if !asked.IsZero() {
-				again *= 2 // whoever has no copy yet gives one once it has
+				interval *= 2 // a VM without a copy sends one once it has it
 			}
 			asked = time.Now()
 		}
 		wait := time.Duration(0)
 		if r.Waits(time.Since(began)) {
-			wait = waitLook
+			wait = copyPoll
 		}
-		if p, ok = r.await(ctx, wait); ok || wait == 0 {
+		if p, ok = r.awaitCopy(ctx, wait); ok || wait == 0 {
 			return p, ok
 		}
 	}
 	return p, false
 }
 
-// await waits for a whole post that is of use; without a wait it looks at those that came.
-func (r *Relay[T]) await(ctx context.Context, wait time.Duration) (p Post[T], ok bool) {
-	for over := time.Now().Add(wait); ; {
+// awaitCopy waits for a usable whole post; with a wait of 0 it only checks the queued posts.
+func (r *Relay[T]) awaitCopy(ctx context.Context, wait time.Duration) (p Post[T], ok bool) {
+	for deadline := time.Now().Add(wait); ; {
 		select {
 		case p = <-r.posts:
 		default:
-			left := time.Until(over)
+			left := time.Until(deadline)
 			if left <= 0 {
 				return p, false
 			}
@@ -160,7 +160,7 @@
 			}
 			t.Stop()
 		}
-		if p.Whole && p.To >= r.least {
+		if p.Whole && p.To >= r.minCopyOffset {
 			return p, true
 		}
 	}
@@ -168,27 +168,27 @@
 
 // Next implements Source.
 //
-// What may go wrong: the store slows down, posts come later than the others' patience, all
-// read for themselves, and the store slows down further. So reads for others wait less when
-// answers take longer, and of those whose patience ends the first reads for the rest.
+// If the store slows down, posts may arrive after PostTimeout; if all VMs then read themselves,
+// the store slows down further. So the reader waits less for records when responses take longer,
+// and the first VM whose PostTimeout ends reads for the rest.
 func (r *Relay[T]) Next(ctx context.Context, from int64, a Ask) (Batch[T], error) {
-	if r.copied {
-		// What was late at the VM that gave the copy must not become later here. While the
-		// store is away, posts are heard, and it is asked again after each.
+	if r.unverified {
+		// The copy may lag; check the store now so that this VM doesn't lag further. While the
+		// store is unavailable, posts are applied, and the store is tried again after each.
 		b, err := r.read(ctx, from, Ask{Most: a.Most}, false)
-		r.copied = err != nil
+		r.unverified = err != nil
 		if err == nil || errors.Is(err, ErrGone) || r.Reads() {
 			return b, err
 		}
 	}
 	if r.Reads() {
-		a.Wait = max(0, a.Wait-2*r.late)
+		a.Wait = max(0, a.Wait-2*r.excessLatency)
 		return r.read(ctx, from, a, true)
 	}
-	p, found, missed := r.hear(ctx, from)
+	p, found, missed := r.nextPost(ctx, from)
 	switch {
 	case found:
-		return Batch[T]{All: r.news(p.All, p.To), Next: p.To, End: p.To}, nil
+		return Batch[T]{All: r.changed(p.All, p.To), Next: p.To, End: p.To}, nil
 	case ctx.Err() != nil:
 		return Batch[T]{}, ctx.Err() //nolint:wrapcheck // the follower ends
 	case missed:
@@ -200,34 +200,34 @@
 	}
 }
 
-// read reads on from the store itself, and passes on what it read if asked to.
+// read reads the store from an offset on, and sends the result to the others if share is set.
 func (r *Relay[T]) read(ctx context.Context, from int64, a Ask, share bool) (Batch[T], error) {
 	began := time.Now()
 	b, err := r.Source.Next(ctx, from, a)
-	r.reached(ctx, err)
+	r.reportCall(ctx, err)
 	if err != nil {
 		if errors.Is(err, ErrGone) {
-			r.least = from + 1
+			r.minCopyOffset = from + 1
 		}
 		return Batch[T]{}, err
 	}
-	r.late = max(0, time.Since(began)-a.Wait)
-	b.All = r.news(b.All, b.Next)
+	r.excessLatency = max(0, time.Since(began)-a.Wait)
+	b.All = r.changed(b.All, b.Next)
 	if share {
 		r.Share(Post[T]{From: from, To: b.Next, All: b.All})
 	}
 	return b, nil
 }
 
-// reached tells whether the store answered; that history is gone is an answer.
-func (r *Relay[T]) reached(ctx context.Context, err error) {
+// reportCall reports to OnCall whether the store answered; ErrGone counts as an answer.
+func (r *Relay[T]) reportCall(ctx context.Context, err error) {
 	if ctx.Err() == nil {
 		r.Reached(err == nil || errors.Is(err, ErrGone))
 	}
 }
 
-// hear waits for a post that goes on from a place, and tells if one in between is missing.
-func (r *Relay[T]) hear(ctx context.Context, from int64) (p Post[T], found, missed bool) {
+// nextPost waits for a post that continues from an offset; missed reports a gap before it.
+func (r *Relay[T]) nextPost(ctx context.Context, from int64) (p Post[T], found, missed bool) {
 	t := time.NewTimer(r.Patience())
 	defer t.Stop()
 	for {
@@ -239,7 +239,7 @@
 			if p.From > from {
 				return p, false, true
 			}
-			return r.join(p)
+			return r.mergeWaiting(p)
 		case <-t.C:
 			return p, false, false
 		case <-ctx.Done():
@@ -248,13 +248,12 @@
 	}
 }
 
-// join adds to a post those that came after it; missed says that one in between is missing.
+// mergeWaiting appends the queued posts to p; missed reports a gap between them.
 //
-// What goes wrong without it: while two VMs read for the others, as after a restart, posts come
-// twice as often as they are taken, one for each pause between two reads. Up to mostPosts wait,
-// and what they tell is taken in 3 s late. One notices runs started on endpoints that had said
-// long before that they leave.
-func (r *Relay[T]) join(p Post[T]) (all Post[T], found, missed bool) {
+// While two VMs are readers, as after a restart, posts arrive twice as fast as they would be
+// taken if each pause between two reads took one. Up to maxPosts would queue and be applied 3 s
+// late, and runs would be started on endpoints that had announced long before that they leave.
+func (r *Relay[T]) mergeWaiting(p Post[T]) (all Post[T], found, missed bool) {
 	for {
 		select {
 		case next := <-r.posts:
@@ -271,29 +270,29 @@
 	}
 }
 
-// news returns what differs from what was known, the last word on each key, and takes
-// note of it, and of the place up to which it goes.
-func (r *Relay[T]) news(all []Update[T], to int64) (news []Update[T]) {
+// changed applies updates to the state, sets its offset, and returns the newest update of
+// each key that changed.
+func (r *Relay[T]) changed(all []Update[T], to int64) (changed []Update[T]) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.at = to
+	r.offset = to
 	at := map[string]int{}
 	for _, u := range all {
-		was, known := r.last[u.Key]
+		was, known := r.values[u.Key]
 		switch {
 		case u.Gone, u.Err != nil:
-			delete(r.last, u.Key)
+			delete(r.values, u.Key)
 		case known && r.Same(was, u.Value):
 			continue
 		default:
-			r.last[u.Key] = u.Value
+			r.values[u.Key] = u.Value
 		}
 		if i, ok := at[u.Key]; ok {
-			news[i] = u
+			changed[i] = u
 			continue
 		}
-		at[u.Key] = len(news)
-		news = append(news, u)
+		at[u.Key] = len(changed)
+		changed = append(changed, u)
 	}
-	return news
+	return changed
 }
--- a/internal/plat/feed/relay_test.go
+++ b/internal/plat/feed/relay_test.go
@@ -15,7 +15,7 @@
 	"dahliawinch/internal/plat/feed"
 )
 
-// pair is two VMs of which the first reads for both while it may.
+// pair is two VMs, of which the first is the reader while reads is set.
 type pair struct {
 	topic *fakes.Topic[int]
 	reads bool
@@ -24,7 +24,7 @@
 	lost  bool // posts don't arrive
 }
 
-// relay is a VM that reads for nobody, waits a second for posts, and asks nobody.
+// relay returns the relay of a VM that is no reader, waits a second for posts, and gets no copy.
 func relay(src feed.Source[int]) *feed.Relay[int] {
 	return (&feed.Relay[int]{
 		Source: src, Reads: func() bool { return false }, Same: func(was, is int) bool { return was == is },
@@ -55,7 +55,7 @@
 		is.NoErr(err)
 		_, at, err := p.b.Newest(t.Context())
 		is.NoErr(err)
-		p.topic.Put("k", 1) // says nothing new
+		p.topic.Put("k", 1) // unchanged
 		p.topic.Put("l", 2)
 		_, err = p.a.Next(t.Context(), from, feed.Ask{})
 		is.NoErr(err)
@@ -69,9 +69,9 @@
 	})
 }
 
-// Symptom: a change never reaches some VMs of a failure domain. Sequence: the one that
-// reads for them is lost; or a post is. Cause: the others wait for it.
-func TestVMReadsForItselfWhenPostsStayOut(t *testing.T) {
+// The reader of a failure domain was lost, or a post was, and the other VMs waited for it without
+// end, so a change never reached them.
+func TestVMReadsStoreWithoutPosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPair()
@@ -95,8 +95,8 @@
 	})
 }
 
-// Symptom: VMs act on what the store no longer says. Sequence: the one that reads for them
-// is cut off from the store and goes on beating. Cause: it posts that there is no news.
+// A reader that was cut off from the store, but still sent heartbeats, posted that nothing had
+// changed. The other VMs acted on outdated records.
 func TestVMWithoutStorePostsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -110,8 +110,8 @@
 	})
 }
 
-// fresh returns a VM that knows nothing and asks another for its copy of the topic; the
-// answer comes after a while.
+// fresh returns the relay of a VM without state that requests another VM's copy of the topic;
+// the copy arrives after a delay.
 func fresh(p *pair, answers time.Duration, waits func(time.Duration) bool) *feed.Relay[int] {
 	r := relay(p.topic)
 	r.Waits = waits
@@ -125,10 +125,9 @@
 	return r
 }
 
-// Symptom: a VM that starts while the store is away refuses all callers. Sequence: the
-// store is lost, the VM is restarted. Cause: it learns of the configuration and the
-// endpoints from the store alone, though its neighbours know them.
-func TestStartLearnsFromANeighbourWhileTheStoreIsAway(t *testing.T) {
+// A VM that was restarted while the store was unavailable refused all callers: it got the
+// configuration and the endpoints from the store only, though its neighbours had them.
+func TestStartGetsCopyDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPair()
@@ -147,10 +146,10 @@
 	})
 }
 
-// Symptom: a VM that has just started goes by a configuration that was replaced seconds
-// ago. Sequence: it takes the copy of a neighbour that has not heard of the change yet, then
-// waits for the next post. Cause: what was late at the neighbour becomes later here.
-func TestCopyIsHeldAgainstTheStoreAtOnce(t *testing.T) {
+// A VM that had just started used a configuration that was replaced seconds before: it took the
+// copy of a neighbour that had not read the change yet, then waited for the next post. So the
+// neighbour's delay added to its own.
+func TestCopyIsCheckedAgainstStoreAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPair()
@@ -169,14 +168,13 @@
 		is.Equal(time.Since(began), time.Duration(0))
 		_, err = r.Next(t.Context(), b.Next, feed.Ask{Wait: 900 * time.Millisecond})
 		is.NoErr(err)
-		is.Equal(time.Since(began), time.Second) // then it waits for posts, as others do
+		is.Equal(time.Since(began), time.Second) // then it waits for posts, as the others do
 	})
 }
 
-// Symptom: a VM that started while it alone can't reach the store learns of no change.
-// Sequence: it took a neighbour's copy, and holds it against the store in vain; posts come.
-// Cause: it does nothing else until the store answers.
-func TestCopyIsFollowedByPostsWhileTheStoreIsAway(t *testing.T) {
+// A VM that started while it alone could not reach the store learned of no change: it took a
+// neighbour's copy, tried to check it against the store, and ignored posts until the store answered.
+func TestCopyIsFollowedByPostsDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPair()
@@ -194,15 +192,15 @@
 	})
 }
 
-// Symptom: a VM reads the same records of the store without end. Sequence: the store
-// drops its history; a neighbour cut off from it answers with what it knew before. Cause:
-// what follows that copy is gone, so it is asked for again.
-func TestCopyFromBeforeALostHistoryIsOfNoUse(t *testing.T) {
+// A VM read the same records of the store without end. The store had dropped its history, and a
+// neighbour cut off from it sent an older copy; the records after that copy were gone, so the VM
+// requested a copy again.
+func TestOutdatedCopyIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPair()
 		p.topic.Put("k", 1)
-		_, _, err := p.a.Newest(t.Context()) // and it hears no more
+		_, _, err := p.a.Newest(t.Context()) // and it reads no more
 		is.NoErr(err)
 		r := fresh(p, 0, func(after time.Duration) bool { return after < time.Second })
 		_, at, err := r.Newest(t.Context())
@@ -218,7 +216,7 @@
 	})
 }
 
-// slow is a source whose answers take a while.
+// slow is a source with slow responses.
 type slow struct {
 	*fakes.Topic[int]
 	takes time.Duration
@@ -233,8 +231,8 @@
 	return s.Topic.Next(ctx, from, a)
 }
 
-// domain is VMs of which the first reads for all, unless it is silent; they follow until
-// the time is over.
+// domain runs VMs of which the first is the reader, unless it is silent; they follow the
+// source for the given span.
 func domain(t *testing.T, src *slow, vms int, silent bool, span time.Duration) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), span)
@@ -271,23 +269,21 @@
 	wg.Wait()
 }
 
-// Symptom: at 300 VMs a change takes 2.3 s to be in force at the last, and each VM reads the
-// store itself once a second. Sequence: the store's answers take 150 ms. Cause: the VM that
-// reads for its domain waits 0.9 s for news, and its post comes after the patience of the
-// others has ended; their reads keep the store slow.
+// With 300 VMs and responses of the store that took 150 ms, a change took 2.3 s to reach the last
+// VM, and each VM read the store itself once a second. The reader of a domain waited 0.9 s for
+// records, so its post arrived after the others' PostTimeout; their reads kept the store slow.
 func TestSlowStoreIsNotReadByAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		src := &slow{Topic: fakes.NewTopic[int](), takes: 150 * time.Millisecond}
 		domain(t, src, 75, false, 20*time.Second)
 		t.Logf("%d reads in 20 s", src.reads.Load())
-		is.New(t).True(src.reads.Load() <= 60) // of the one that reads
+		is.New(t).True(src.reads.Load() <= 60) // by the reader alone
 	})
 }
 
-// Symptom: when the VM that reads for its domain is lost, all 74 others read the store.
-// Sequence: it falls silent; others notice by its state only later. Cause: each reads for
-// itself though the first that does could read for all.
-func TestFirstOfTheImpatientReadsForAll(t *testing.T) {
+// When the reader of a domain fell silent, all 74 others read the store until they noticed its
+// state. Each read for itself, though the first one could have read for all.
+func TestFirstToTimeOutReadsForAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		src := &slow{Topic: fakes.NewTopic[int](), takes: 20 * time.Millisecond}
 		domain(t, src, 75, true, 20*time.Second)
--- a/internal/plat/feed/unusable_test.go
+++ b/internal/plat/feed/unusable_test.go
@@ -10,10 +10,10 @@
 	"github.com/matryer/is"
 )
 
-// Symptom: an endpoint whose entry is of no use is given work on, or the log fills with one line
-// for each time that another writer repeats its entry. Sequence: a good entry, a useless one
-// twice, a good one again. Cause: useless entries are passed over, and each is logged.
-func TestUselessRecordCountsAsGoneAndIsLoggedOnce(t *testing.T) {
+// Unusable entries were skipped, and each was logged. So an endpoint with an unusable entry still
+// got work, and the log filled up when another writer repeated the entry. Here a good entry is
+// followed by an unusable one twice and a good one again.
+func TestUnusableRecordCountsAsGoneAndIsLoggedOnce(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	var got []Update[int]
@@ -27,19 +27,18 @@
 	is.True(got[2].Gone && got[2].Key == "k" && got[2].Err == nil)
 	is.Equal(got[3].Value, 3)
 	is.True(!got[5].Gone && got[5].Value == 4)
-	is.Equal(strings.Count(out.String(), "record of no use"), 1)
+	is.Equal(strings.Count(out.String(), "unusable record"), 1)
 	f.apply([]Update[int]{bad}, false)
-	is.Equal(strings.Count(out.String(), "record of no use"), 2) // it was good between
+	is.Equal(strings.Count(out.String(), "unusable record"), 2) // it was good between
 }
 
-// Symptom: an endpoint is lost for good though it reports. Sequence: its entry, a useless one in
-// its place, its entry again, as it was before. Cause: the copy still has the first, and takes
-// the last for no news.
-func TestEntryAfterAUselessOneIsNews(t *testing.T) {
+// An endpoint that reports was lost for good: its entry was replaced by an unusable one and then
+// written again unchanged. The copy still held the first entry and took the last for a repetition.
+func TestRecordAfterUnusableOneIsNew(t *testing.T) {
 	is := is.New(t)
 	r := (&Relay[int]{Same: func(a, b int) bool { return a == b }}).Init()
-	is.Equal(len(r.news([]Update[int]{{Key: "k", Value: 1}}, 1)), 1)
-	is.Equal(len(r.news([]Update[int]{{Key: "k", Value: 1}}, 2)), 0)
-	is.Equal(len(r.news([]Update[int]{{Key: "k", Err: errors.New("useless")}}, 3)), 1)
-	is.Equal(len(r.news([]Update[int]{{Key: "k", Value: 1}}, 4)), 1)
+	is.Equal(len(r.changed([]Update[int]{{Key: "k", Value: 1}}, 1)), 1)
+	is.Equal(len(r.changed([]Update[int]{{Key: "k", Value: 1}}, 2)), 0)
+	is.Equal(len(r.changed([]Update[int]{{Key: "k", Err: errors.New("useless")}}, 3)), 1)
+	is.Equal(len(r.changed([]Update[int]{{Key: "k", Value: 1}}, 4)), 1)
 }
--- a/internal/plat/ledger/client.go
+++ b/internal/plat/ledger/client.go
@@ -17,13 +17,13 @@
 	pageBytes  = 64 << 20
 )
 
-// Client reaches the log over HTTP with JSON.
+// Client implements Log over HTTP with JSON.
 type Client struct {
 	url  string
 	http *fasthttp.Client
 }
 
-// NewClient returns the client of one stream at an address.
+// NewClient returns a client of one stream at an address.
 func NewClient(at netip.AddrPort, stream string) *Client {
 	return &Client{
 		url:  fmt.Sprintf("http://%s/streams/%s", at, stream),
--- a/internal/plat/ledger/ledger.go
+++ b/internal/plat/ledger/ledger.go
@@ -1,4 +1,4 @@
-// Package ledger is the thin adapter to the platform's append-only log.
+// Package ledger is the client of the platform's append-only log.
 package ledger
 
 import (
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// Log is what the system needs of the platform's log; one value is one stream.
+// Log is one stream of the platform's log.
 type Log interface {
 	// Append adds a record and returns its offset. After ErrUnsure the record may
-	// or may not be there.
+	// or may not have been appended.
 	Append(ctx context.Context, data []byte) (offset int64, err error)
-	// Read returns records from an offset on, waiting up to wait for the first.
+	// Read returns records from an offset on, blocking up to wait for the first.
 	Read(ctx context.Context, from int64, wait time.Duration) (Page, error)
 }
 
-// Page is a run of records without a gap.
+// Page is a contiguous sequence of records.
 type Page struct {
 	First   int64    `json:"first"` // the oldest offset that the log still has
 	From    int64    `json:"from"`  // the offset of Records[0]
 	Records [][]byte `json:"records"`
 }
 
-// The errors of a Log.
+// Errors of a Log.
 var (
 	ErrUnsure = errors.New("append without an answer: it may have taken effect")
 	ErrDown   = errors.New("log unavailable: nothing was appended")
--- a/internal/plat/roster/roster.go
+++ b/internal/plat/roster/roster.go
@@ -1,5 +1,5 @@
-// Package roster is the thin adapter to the platform's lagging list of live and
-// leaving VMs and endpoints.
+// Package roster is the client of the platform's list of live and leaving VMs and
+// endpoints, which lags behind.
 package roster
 
 import (
@@ -27,13 +27,13 @@
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// List is the platform's list; it lags.
+// List is the platform's list, which lags behind.
 type List struct {
 	VMs       []VM       `json:"vms"`
 	Endpoints []Endpoint `json:"endpoints"`
 }
 
-// Source gives the list.
+// Source returns the current list.
 type Source interface {
 	List(ctx context.Context) (List, error)
 }
@@ -46,7 +46,7 @@
 	http *fasthttp.Client
 }
 
-// NewClient returns the client of the list at an address.
+// NewClient returns a client of the list at an address.
 func NewClient(at netip.AddrPort) *Client {
 	return &Client{
 		url:  fmt.Sprintf("http://%s/list", at),
