--- a/internal/plat/feed/feed.go
+++ b/internal/plat/feed/feed.go
@@ -32,7 +32,7 @@
 // ReadOptions bounds one call of Source.Next.
 type Ask struct {
 	Wait time.Duration // how long to wait for the first record
-	Most int           // of records; 0 for no bound
+	Most int           // of records, exceeded only by a single larger record; 0 for no bound
 }
 
 // Batch is the result of one read.
@@ -55,7 +55,7 @@
 // Pace is how often and in what amounts a source is read.
 type Pace struct {
 	Wait  time.Duration // how long one read may wait for a record
-	Pause time.Duration // between two reads; calls to the store cost
+	Pause time.Duration // between two reads; calls to the store are billed
 	Most  int           // bytes of one read, 0 for no bound
 	// SettledPause, if set, replaces Pause once the source has been followed for Settle.
 	Rest, Settle time.Duration
--- a/internal/plat/feed/relay.go
+++ b/internal/plat/feed/relay.go
@@ -45,7 +45,7 @@
 	// OnCall is called after each call to the store; ok is whether the store answered.
 	Reached func(ok bool)
 	// KeepWaiting reports whether a VM without any copy keeps waiting for one after some time.
-	// 180 VMs that start at once would read more than the store delivers in seconds.
+	// 180 VMs that start at once would read more than the store delivers within seconds.
 	Waits func(after time.Duration) bool
 
 	posts chan Post[T]
@@ -251,8 +251,8 @@
 // mergeWaiting appends the queued posts to p; missed reports a gap between them.
 //
 // While two VMs are readers, as after a restart, posts arrive twice as fast as they would be
-// taken if each pause between two reads took one. Up to maxPosts would queue and be applied 3 s
-// late, and runs would be started on endpoints that had announced long before that they leave.
+// applied at one per pause between reads. Up to maxPosts would queue and be applied 3 s late,
+// and runs would be started on endpoints that had announced long before that they leave.
 func (r *Relay[T]) mergeWaiting(p Post[T]) (all Post[T], found, missed bool) {
 	for {
 		select {
