--- a/internal/tool/judge/judge.go
+++ b/internal/tool/judge/judge.go
@@ -1,5 +1,5 @@
-// Package judge checks what must always hold from outside: from what callers were
-// told and what endpoints saw, never from the system's own word.
+// Package judge checks the system's guarantees from outside: it compares the answers
+// that callers received with the starts that endpoints saw, and trusts no internal state.
 package judge
 
 import (
@@ -11,22 +11,22 @@
 	"dahliawinch/internal/task/job"
 )
 
-// Judge collects what was seen of every job.
+// Judge records the answers and task starts of every job.
 type Judge struct {
-	mu   sync.Mutex
-	jobs map[string]*record
-	why  []string
+	mu         sync.Mutex
+	jobs       map[string]*record
+	violations []string
 }
 
 type record struct {
-	tasks   int
-	starts  []uint8
-	outcome []job.Outcome // every answer to this job, resubmissions included
-	partial bool
-	crossed bool
+	tasks    int
+	starts   []uint8
+	outcomes []job.Outcome // all answers, including those to resubmissions
+	partial  bool
+	crossed  bool
 }
 
-// Tally is the verdict.
+// Tally counts jobs by outcome, and violated guarantees.
 type Tally struct {
 	Jobs    int `json:"jobs"`
 	Tasks   int `json:"tasks"`
@@ -37,13 +37,13 @@
 	Twice   int `json:"twice"`   // tasks that started more than once
 	Partial int `json:"partial"` // done answers that lack results
 	Crossed int `json:"crossed"` // answers with another request's results
-	Lies    int `json:"lies"`    // "not run" though something started
+	Lies    int `json:"lies"`    // refused although a task started
 }
 
-// Broken is the number of broken promises.
+// Broken returns the number of violated guarantees.
 func (t Tally) Broken() int { return t.Twice + t.Partial + t.Crossed + t.Lies }
 
-// New returns an empty judge.
+// New returns a Judge without jobs.
 func New() *Judge { return &Judge{jobs: map[string]*record{}} }
 
 func (j *Judge) get(name string) *record {
@@ -55,7 +55,7 @@
 	return r
 }
 
-// Submit notes a job before it is sent.
+// Submit records a job before it is sent.
 func (j *Judge) Submit(name string, tasks int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -76,11 +76,11 @@
 	}
 	r.starts[task]++
 	if r.starts[task] > 1 {
-		j.note("%s: task %d started %d times", name, task, r.starts[task])
+		j.addViolation("%s: task %d started %d times", name, task, r.starts[task])
 	}
 }
 
-// Starts is how many task starts of a job were seen so far.
+// Starts returns how many task starts of a job were seen so far.
 func (j *Judge) Starts(name string) (n int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -90,47 +90,47 @@
 	return n
 }
 
-// Answer notes what the caller of a job was told.
+// Answer records the answer that the caller of a job received.
 func (j *Judge) Answer(name string, a *job.Answer) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	r := j.get(name)
-	r.outcome = append(r.outcome, a.Outcome)
+	r.outcomes = append(r.outcomes, a.Outcome)
 	if a.Outcome != job.Done {
 		if len(a.Results) > 0 {
 			r.partial = true
-			j.note("%s: %s with %d results", name, a.Outcome, len(a.Results))
+			j.addViolation("%s: %s with %d results", name, a.Outcome, len(a.Results))
 		}
 		return
 	}
 	if len(a.Results) != r.tasks {
 		r.partial = true
-		j.note("%s: %d results for %d tasks", name, len(a.Results), r.tasks)
+		j.addViolation("%s: %d results for %d tasks", name, len(a.Results), r.tasks)
 	}
 	for i, body := range a.Results {
 		var d fakes.Done
 		if json.Unmarshal(body, &d) != nil || d.Job != name || d.Task != i {
 			r.crossed = true
-			j.note("%s: result %d is %.60q", name, i, body)
+			j.addViolation("%s: result %d is %.60q", name, i, body)
 		}
 	}
 }
 
-func (j *Judge) note(format string, args ...any) {
-	if len(j.why) < 20 {
-		j.why = append(j.why, fmt.Sprintf(format, args...))
+func (j *Judge) addViolation(format string, args ...any) {
+	if len(j.violations) < 20 {
+		j.violations = append(j.violations, fmt.Sprintf(format, args...))
 	}
 }
 
-// Why lists the first broken promises in words.
+// Violations describes the first violated guarantees.
 func (j *Judge) Why() []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return append([]string{}, j.why...)
+	return append([]string{}, j.violations...)
 }
 
-// Verdict judges all jobs; call it when nothing runs any more, since a start
-// after a refusal counts as a lie too.
+// Verdict checks all jobs. Call it when nothing runs any more: a task that starts
+// after the refusal makes the refusal false too.
 func (j *Judge) Verdict() (t Tally) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -155,18 +155,18 @@
 	return t
 }
 
-// count takes the last answer as the job's outcome; every refusal among the
-// answers of a job of which something started is a lie.
+// count uses the last answer as the job's outcome. A job with a refusal among its
+// answers and a started task counts as a false refusal.
 func (j *Judge) count(t *Tally, name string, r *record, started int) {
 	last := job.Unknown
-	lie := false
-	for _, o := range r.outcome {
+	falseRefusal := false
+	for _, o := range r.outcomes {
 		last = o
-		lie = lie || o == job.Refused && started > 0
+		falseRefusal = falseRefusal || o == job.Refused && started > 0
 	}
-	if lie {
+	if falseRefusal {
 		t.Lies++
-		j.note("%s: refused, but %d tasks started; told %v", name, started, r.outcome)
+		j.addViolation("%s: refused, but %d tasks started; answers %v", name, started, r.outcomes)
 	}
 	switch last {
 	case job.Done:
--- a/internal/tool/judge/judge_test.go
+++ b/internal/tool/judge/judge_test.go
@@ -12,30 +12,30 @@
 	return []byte(`{"job":"` + name + `","task":` + task + `}`)
 }
 
-// Each case is a broken system; a checker that misses one proves nothing.
-func TestEveryBrokenPromiseIsSeen(t *testing.T) {
+// Each case but "valid" and "no answer" violates a guarantee, which the judge must detect.
+func TestEveryViolationIsDetected(t *testing.T) {
 	cases := map[string]struct {
 		play func(*Judge)
 		want Tally
 	}{
-		"honest": {func(j *Judge) {
+		"valid": {func(j *Judge) {
 			j.Started("a", 0)
 			j.Started("a", 1)
 			j.Answer("a", &job.Answer{Outcome: job.Done, Results: [][]byte{result("a", "0"), result("a", "1")}})
 		}, Tally{Jobs: 1, Tasks: 2, Done: 1}},
-		"second try after a start": {func(j *Judge) {
+		"task started twice": {func(j *Judge) {
 			j.Started("a", 0)
 			j.Started("a", 0)
 			j.Answer("a", &job.Answer{Outcome: job.Failed})
 		}, Tally{Jobs: 1, Tasks: 2, Failed: 1, Twice: 1}},
-		"refused for unknown": {func(j *Judge) {
+		"refused but started": {func(j *Judge) {
 			j.Answer("a", &job.Answer{Outcome: job.Refused})
 			j.Started("a", 1) // later than the answer
 		}, Tally{Jobs: 1, Tasks: 2, Refused: 1, Lies: 1}},
-		"unmatched answer": {func(j *Judge) {
+		"result of another job": {func(j *Judge) {
 			j.Answer("a", &job.Answer{Outcome: job.Done, Results: [][]byte{result("a", "0"), result("b", "1")}})
 		}, Tally{Jobs: 1, Tasks: 2, Done: 1, Crossed: 1}},
-		"swapped order": {func(j *Judge) {
+		"results in wrong order": {func(j *Judge) {
 			j.Answer("a", &job.Answer{Outcome: job.Done, Results: [][]byte{result("a", "1"), result("a", "0")}})
 		}, Tally{Jobs: 1, Tasks: 2, Done: 1, Crossed: 1}},
 		"partial": {func(j *Judge) {
--- a/internal/tool/load/load.go
+++ b/internal/tool/load/load.go
@@ -1,6 +1,6 @@
-// Package load is an open-loop load generator: jobs are sent when they are due,
-// and latency counts from that moment, so that a stalled server can't hide its
-// own delay.
+// Package load is an open-loop load generator: jobs are sent at their due times
+// and latency is measured from then, so that a stalled server can't hide its
+// delay (coordinated omission).
 package load
 
 import (
@@ -21,34 +21,34 @@
 	"dahliawinch/winch"
 )
 
-// Plan of a load.
+// Plan describes a load.
 type Plan struct {
-	Targets []netip.AddrPort // callers' addresses of the entry VMs
+	Targets []netip.AddrPort // caller addresses of the entry VMs
 	Mix     mix.Mix
 	Rate    float64 // jobs per second
 	Span    time.Duration
 	Seed    uint64
-	Burst   float64       // the rate is multiplied by this
-	From    time.Duration // from here
-	Till    time.Duration // till here
+	Burst   float64       // factor on Rate during the burst; 0 for no burst
+	From    time.Duration // start of the burst
+	Till    time.Duration // end of the burst
 }
 
-// Report is what callers saw.
+// Report sums up the answers that callers received.
 type Report struct {
 	judge.Tally
 	Ratio   Ratio            `json:"ratio"`
-	Millis  map[string]Quant `json:"millis"` // response by class, done jobs
+	Millis  map[string]Quant `json:"millis"` // response times of done jobs by class
 	Reasons map[string]int   `json:"reasons,omitempty"`
 }
 
-// Ratio of response to ideal over done jobs.
+// Ratio is response time over ideal time of done jobs.
 type Ratio struct {
 	Mean float64 `json:"mean"`
 	P50  float64 `json:"p50"`
 	P99  float64 `json:"p99"`
 }
 
-// Quant are quantiles in milliseconds.
+// Quant holds quantiles in milliseconds.
 type Quant struct {
 	P50 float64 `json:"p50"`
 	P99 float64 `json:"p99"`
@@ -62,7 +62,7 @@
 	clients map[string][]*winch.Client
 	sent    atomic.Int64
 	ended   atomic.Int64
-	gone    sync.Map // targets that refused a connection, by when
+	refused sync.Map // indexes of targets that refused a connection -> time
 
 	mu      sync.Mutex
 	ratio   *hdrhistogram.Histogram // thousandths
@@ -71,14 +71,14 @@
 }
 
 const (
-	// networkIdeal is the part of the ideal response that is not run time; on
-	// loopback it is nothing.
+	// networkIdeal is the network's part of the ideal response time; it is zero on
+	// loopback.
 	networkIdeal = 0
-	// goneFor is how long a target that refused a connection is passed over.
-	goneFor = time.Second
+	// refusedSkip is how long a target is skipped after it refused a connection.
+	refusedSkip = time.Second
 )
 
-// New returns a load that reports to a judge.
+// New returns a Load that reports jobs and answers to a judge.
 func New(plan Plan, j *judge.Judge) *Load {
 	l := &Load{
 		plan: plan, judge: j, clients: map[string][]*winch.Client{},
@@ -96,10 +96,10 @@
 	return l
 }
 
-// Progress returns how many jobs were sent and answered.
+// Progress returns the numbers of jobs that were sent and that ended.
 func (l *Load) Progress() (sent, ended int64) { return l.sent.Load(), l.ended.Load() }
 
-// Run plays the plan and waits for all answers.
+// Run executes the plan and waits for all answers.
 func (l *Load) Run(ctx context.Context) {
 	r := rand.New(rand.NewPCG(l.plan.Seed, 7))
 	began := time.Now()
@@ -107,7 +107,7 @@
 	var wg sync.WaitGroup
 	for n := 0; ctx.Err() == nil; n++ {
 		rate := l.plan.Rate
-		if at := due.Sub(began); l.plan.Burst > 0 && at >= l.plan.From && at < l.plan.Till {
+		if elapsed := due.Sub(began); l.plan.Burst > 0 && elapsed >= l.plan.From && elapsed < l.plan.Till {
 			rate *= l.plan.Burst
 		}
 		due = due.Add(mix.Gap(r, rate))
@@ -117,8 +117,8 @@
 		j := l.plan.Mix.Draw(r, fmt.Sprintf("load-%d-%d", l.plan.Seed, n))
 		pick := r.IntN(len(l.plan.Targets))
 		sleep(ctx, time.Until(due))
-		at := due
-		wg.Go(func() { l.one(ctx, j, pick, at) })
+		elapsed := due
+		wg.Go(func() { l.send(ctx, j, pick, elapsed) })
 	}
 	wg.Wait()
 }
@@ -135,9 +135,9 @@
 	}
 }
 
-// one submits a job; a VM that refuses the connection received nothing, so the
-// next one is tried, as a balancer does.
-func (l *Load) one(ctx context.Context, j *mix.Job, pick int, due time.Time) {
+// send submits a job. A VM that refuses the connection received nothing, so send
+// tries the next one, as a load balancer does.
+func (l *Load) send(ctx context.Context, j *mix.Job, pick int, due time.Time) {
 	l.sent.Add(1)
 	l.judge.Submit(j.Name, len(j.Req.Tasks))
 	clients := l.clients[j.Kind.Key]
@@ -145,17 +145,17 @@
 	for range len(clients) {
 		c := pick % len(clients)
 		pick++
-		if at, ok := l.gone.Load(c); ok && time.Since(at.(time.Time)) < goneFor {
+		if at, ok := l.refused.Load(c); ok && time.Since(at.(time.Time)) < refusedSkip {
 			continue
 		}
 		a = l.submit(ctx, clients[c], j)
 		if a.Reason != "connect" {
 			break
 		}
-		l.gone.Store(c, time.Now())
+		l.refused.Store(c, time.Now())
 	}
 	l.ended.Add(1)
-	l.note(j, a, time.Since(due))
+	l.record(j, a, time.Since(due))
 }
 
 func (l *Load) submit(ctx context.Context, c *winch.Client, j *mix.Job) winch.Answer {
@@ -181,16 +181,16 @@
 	return a
 }
 
-func (l *Load) note(j *mix.Job, a winch.Answer, took time.Duration) {
+func (l *Load) record(j *mix.Job, a winch.Answer, took time.Duration) {
 	o, err := job.ParseOutcome(string(a.Outcome))
 	if err != nil {
 		o = job.Unknown
 	}
-	in := &job.Answer{Outcome: o, Reason: job.Reason(a.Reason)}
+	answer := &job.Answer{Outcome: o, Reason: job.Reason(a.Reason)}
 	for _, r := range a.Results {
-		in.Results = append(in.Results, r)
+		answer.Results = append(answer.Results, r)
 	}
-	l.judge.Answer(j.Name, in)
+	l.judge.Answer(j.Name, answer)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if o != job.Done {
@@ -198,7 +198,7 @@
 		return
 	}
 	ideal := j.Longest() + networkIdeal
-	_ = l.ratio.RecordValue(int64(1000 * took.Seconds() / ideal.Seconds())) // out of range: at the top
+	_ = l.ratio.RecordValue(int64(1000 * took.Seconds() / ideal.Seconds())) // an out-of-range value is not counted
 	h := l.classes[j.Req.Class]
 	if h == nil {
 		h = hdrhistogram.New(1, int64(10*time.Minute/time.Microsecond), 3)
@@ -207,7 +207,7 @@
 	_ = h.RecordValue(took.Microseconds())
 }
 
-// Report sums up; call it when nothing runs any more.
+// Report returns the results. Call it when nothing runs any more.
 func (l *Load) Report() Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/tool/mix/mix.go
+++ b/internal/tool/mix/mix.go
@@ -1,5 +1,5 @@
-// Package mix describes a load: which classes, job sizes and run times, and how
-// jobs arrive.
+// Package mix describes a load: classes, job sizes, run times and arrival times
+// of jobs.
 package mix
 
 import (
@@ -16,35 +16,35 @@
 	"dahliawinch/internal/task/job"
 )
 
-// Mix is a load by kinds of jobs, read from a JSON file.
+// Mix lists the kinds of jobs in a load; it can be read from a JSON file.
 type Mix struct {
 	Kinds []Kind `json:"kinds"`
 }
 
-// Kind is one sort of job.
+// Kind describes jobs of one kind.
 type Kind struct {
 	Name   string     `json:"name"`
 	Tenant string     `json:"tenant"`
-	Key    string     `json:"key,omitempty"` // caller key, where one is needed
+	Key    string     `json:"key,omitempty"` // API key of the caller, where one is needed
 	Class  string     `json:"class"`
-	Share  float64    `json:"share"` // of the jobs
-	Least  int        `json:"least"` // tasks, log-uniform from least to most
+	Share  float64    `json:"share"` // weight among the kinds of jobs
+	Least  int        `json:"least"` // tasks of a job, log-uniform from Least to Most
 	Most   int        `json:"most"`
 	Run    valid.Span `json:"run"`            // median run time, log-normal
-	Sigma  float64    `json:"sigma"`          // of its logarithm
-	Tail   float64    `json:"tail,omitempty"` // part of tasks that take from Long to Longer
+	Sigma  float64    `json:"sigma"`          // standard deviation of its logarithm
+	Tail   float64    `json:"tail,omitempty"` // fraction of tasks that run from Long to Longer
 	Long   valid.Span `json:"long,omitempty"`
 	Longer valid.Span `json:"longer,omitempty"`
-	Told   float64    `json:"told,omitempty"`   // declared run time over the median; 0 declares none
-	Fail   float64    `json:"fail,omitempty"`   // part of tasks that fail by themselves
-	Need   job.Size   `json:"need,omitempty"`   // of each task
-	Ticket bool       `json:"ticket,omitempty"` // sent under a ticket
+	Told   float64    `json:"told,omitempty"`   // declared run time / median; 0: none declared
+	Fail   float64    `json:"fail,omitempty"`   // fraction of tasks that fail
+	Need   job.Size   `json:"need,omitempty"`   // resources of each task
+	Ticket bool       `json:"ticket,omitempty"` // submitted with a ticket
 }
 
-// Paper is the mix of the brief's sizes: run times log-normal about 200 ms, one
-// in twenty of 2 to 5 s, jobs of 1 to 64.
+// Default returns the standard mix: log-normal run times with a median of 200 ms,
+// one task in twenty of 2 to 5 s, jobs of 1 to 64 tasks.
 func Paper() Mix {
-	k := func(name, tenant, class string, share float64, most int) Kind {
+	kind := func(name, tenant, class string, share float64, most int) Kind {
 		return Kind{
 			Name: name, Tenant: tenant, Class: class, Share: share, Least: 1, Most: most,
 			Run: valid.Span(200 * time.Millisecond), Sigma: 0.5,
@@ -52,14 +52,14 @@
 		}
 	}
 	return Mix{Kinds: []Kind{
-		k("setup", "relief", "setup", 0.25, 4),
-		k("render", "crew", "render", 0.4, 64),
-		k("proof", "imprint", "render", 0.25, 64),
-		k("night", "imprint", "night", 0.1, 64),
+		kind("setup", "relief", "setup", 0.25, 4),
+		kind("render", "crew", "render", 0.4, 64),
+		kind("proof", "imprint", "render", 0.25, 64),
+		kind("night", "imprint", "night", 0.1, 64),
 	}}
 }
 
-// Document declares what Paper needs.
+// Document returns the configuration that Default needs.
 func Document() *doc.Document {
 	return &doc.Document{
 		Service: "mixed",
@@ -101,47 +101,47 @@
 		ps = append(ps, valid.Problem{Field: "kinds", Wrong: "is empty", Mend: "describe at least one kind of job"})
 	}
 	for i, k := range m.Kinds {
-		at := fmt.Sprintf("kinds[%d].", i)
-		bad := func(ok bool, field, wrong, mend string) {
+		prefix := fmt.Sprintf("kinds[%d].", i)
+		require := func(ok bool, field, wrong, mend string) {
 			if !ok {
-				ps = append(ps, valid.Problem{Field: at + field, Wrong: wrong, Mend: mend})
+				ps = append(ps, valid.Problem{Field: prefix + field, Wrong: wrong, Mend: mend})
 			}
 		}
-		bad(k.Share > 0, "share", fmt.Sprint(k.Share), "use more than 0")
-		bad(k.Least >= 1 && k.Least <= k.Most, "least", fmt.Sprint(k.Least), "use 1 to most")
-		bad(k.Run > 0, "run", k.Run.Std().String(), "use a positive duration")
-		bad(k.Sigma >= 0 && k.Sigma <= 3, "sigma", fmt.Sprint(k.Sigma), "use 0 to 3")
-		bad(k.Tail >= 0 && k.Tail <= 1, "tail", fmt.Sprint(k.Tail), "use a part from 0 to 1")
-		bad(k.Long <= k.Longer, "long", k.Long.Std().String(), "use at most longer")
+		require(k.Share > 0, "share", fmt.Sprint(k.Share), "use more than 0")
+		require(k.Least >= 1 && k.Least <= k.Most, "least", fmt.Sprint(k.Least), "use 1 to most")
+		require(k.Run > 0, "run", k.Run.Std().String(), "use a positive duration")
+		require(k.Sigma >= 0 && k.Sigma <= 3, "sigma", fmt.Sprint(k.Sigma), "use 0 to 3")
+		require(k.Tail >= 0 && k.Tail <= 1, "tail", fmt.Sprint(k.Tail), "use a fraction from 0 to 1")
+		require(k.Long <= k.Longer, "long", k.Long.Std().String(), "use at most longer")
 	}
 	return ps
 }
 
-// MeanRun is the mean run time of the kind's tasks.
+// MeanRun returns the mean run time of the kind's tasks.
 func (k Kind) MeanRun() time.Duration {
 	usual := k.Run.Std().Seconds() * math.Exp(k.Sigma*k.Sigma/2)
 	long := (k.Long.Std().Seconds() + k.Longer.Std().Seconds()) / 2
 	return time.Duration(((1-k.Tail)*usual + k.Tail*long) * float64(time.Second))
 }
 
-// MeanTasks is the mean size of the kind's jobs.
+// MeanTasks returns the mean number of tasks of the kind's jobs.
 func (k Kind) MeanTasks() float64 {
 	if k.Least == k.Most {
 		return float64(k.Least)
 	}
 	var sum float64
 	for n := k.Least; n <= k.Most; n++ {
-		sum += float64(n) * k.chance(n)
+		sum += float64(n) * k.probability(n)
 	}
 	return sum
 }
 
-func (k Kind) chance(n int) float64 {
+func (k Kind) probability(n int) float64 {
 	lo, hi := float64(k.Least), float64(k.Most+1)
 	return (math.Log(float64(n+1)) - math.Log(float64(n))) / (math.Log(hi) - math.Log(lo))
 }
 
-// Work is the mean slot time of a job of the mix.
+// MeanWork returns the mean total run time of a job's tasks.
 func (m Mix) Work() time.Duration {
 	var sum, shares float64
 	for _, k := range m.Kinds {
@@ -151,7 +151,7 @@
 	return time.Duration(sum / shares * float64(time.Second))
 }
 
-// Job is one job of the load.
+// Job is a generated job and the run times of its tasks.
 type Job struct {
 	Kind *Kind
 	Name string
@@ -159,7 +159,7 @@
 	Req  job.Request
 }
 
-// Longest is the run time of the job's longest task.
+// Longest returns the run time of the job's longest task.
 func (j *Job) Longest() (d time.Duration) {
 	for _, r := range j.Runs {
 		d = max(d, r)
@@ -167,9 +167,9 @@
 	return d
 }
 
-// Draw makes the next job.
+// Draw returns a random job of the mix.
 func (m Mix) Draw(r *rand.Rand, name string) *Job {
-	k := m.pick(r)
+	k := m.randomKind(r)
 	n := k.Least
 	if k.Most > k.Least {
 		lo, hi := math.Log(float64(k.Least)), math.Log(float64(k.Most+1))
@@ -177,7 +177,7 @@
 	}
 	j := &Job{Kind: k, Name: name, Req: job.Request{Tenant: k.Tenant, Class: k.Class, Kind: k.Name}}
 	for i := range n {
-		run := k.draw(r)
+		run := k.randomRun(r)
 		j.Runs = append(j.Runs, run)
 		t := fakes.Task{Job: name, Task: i, Run: valid.Span(run), Fail: r.Float64() < k.Fail}
 		j.Req.Tasks = append(j.Req.Tasks, job.Task{
@@ -187,7 +187,7 @@
 	return j
 }
 
-func (m Mix) pick(r *rand.Rand) *Kind {
+func (m Mix) randomKind(r *rand.Rand) *Kind {
 	var shares float64
 	for _, k := range m.Kinds {
 		shares += k.Share
@@ -201,19 +201,19 @@
 	return &m.Kinds[len(m.Kinds)-1]
 }
 
-func (k *Kind) draw(r *rand.Rand) time.Duration {
+func (k *Kind) randomRun(r *rand.Rand) time.Duration {
 	if r.Float64() < k.Tail {
 		return k.Long.Std() + time.Duration(r.Float64()*float64(k.Longer-k.Long))
 	}
 	return time.Duration(float64(k.Run) * math.Exp(k.Sigma*r.NormFloat64()))
 }
 
-// Gap is the time to the next arrival of a Poisson stream.
+// Gap returns a random time between two arrivals of a Poisson process.
 func Gap(r *rand.Rand, perSecond float64) time.Duration {
 	return time.Duration(r.ExpFloat64() / perSecond * float64(time.Second))
 }
 
-// MarshalIndent writes the mix as a file.
+// MarshalIndent encodes the mix as indented JSON, as Load reads it.
 func (m Mix) MarshalIndent() ([]byte, error) {
 	text, err := json.MarshalIndent(m, "", "  ")
 	if err != nil {
--- a/internal/tool/trial/plot.go
+++ b/internal/tool/trial/plot.go
@@ -12,24 +12,24 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Size of a plot.
+// Size of a plot on the page.
 const (
 	width  = 16 * vg.Centimeter
 	height = 10 * vg.Centimeter
 )
 
-// SVG draws a plot.
+// SVG returns the plot as an SVG image.
 func (p *Plot) SVG() ([]byte, error) {
 	pl := plot.New()
 	pl.Title.Text, pl.X.Label.Text, pl.Y.Label.Text = p.Title, p.X, p.Y
 	pl.Y.Min, pl.Legend.Top = 0, true
 	pl.Add(plotter.NewGrid())
 	for i, l := range p.Lines {
-		at := make(plotter.XYs, 0, len(l.Points))
+		points := make(plotter.XYs, 0, len(l.Points))
 		for _, pt := range l.Points {
-			at = append(at, plotter.XY{X: pt.X, Y: pt.Y})
+			points = append(points, plotter.XY{X: pt.X, Y: pt.Y})
 		}
-		line, dots, err := plotter.NewLinePoints(at)
+		line, dots, err := plotter.NewLinePoints(points)
 		if err != nil {
 			return nil, fmt.Errorf("plot %s, line %s: %w", p.Name, l.Name, err)
 		}
--- a/internal/tool/trial/trial.go
+++ b/internal/tool/trial/trial.go
@@ -1,5 +1,5 @@
-// Package trial writes down what experiments measured: their tables as JSON and Markdown,
-// their plots as SVG.
+// Package trial writes the results of experiments: tables as JSON and Markdown,
+// plots as SVG.
 package trial
 
 import (
@@ -12,12 +12,12 @@
 	"strings"
 )
 
-// Report is what one experiment measured.
+// Report holds the results of one experiment.
 type Report struct {
-	Name   string   `json:"name"`  // of its files
-	Title  string   `json:"title"` // what was asked
-	Setup  string   `json:"setup"` // deployment, load, how long
-	Seeds  []uint64 `json:"seeds"` // of the plays whose mean is told
+	Name   string   `json:"name"`  // prefix of its file names
+	Title  string   `json:"title"` // question of the experiment
+	Setup  string   `json:"setup"` // deployment, load, duration
+	Seeds  []uint64 `json:"seeds"` // of the runs that were averaged
 	Tables []Table  `json:"tables"`
 	Plots  []Plot   `json:"plots"`
 }
@@ -25,27 +25,27 @@
 // Table has a row for each case that was measured.
 type Table struct {
 	Title   string   `json:"title"`
-	Case    string   `json:"case"` // heading of the cases
+	Case    string   `json:"case"` // heading of the first column
 	Columns []Column `json:"columns"`
 	Rows    []Row    `json:"rows"`
 }
 
-// Column is one figure of all cases.
+// Column describes one figure of each case.
 type Column struct {
 	Name     string `json:"name"`
 	Unit     string `json:"unit,omitempty"`
 	Decimals int    `json:"decimals"`
 }
 
-// Row is one case.
+// Row holds the figures of one case.
 type Row struct {
 	Case    string    `json:"case"`
 	Figures []float64 `json:"figures"`
 }
 
-// Plot shows lines over one axis.
+// Plot holds lines over a common X axis.
 type Plot struct {
-	Name  string `json:"name"` // of its file
+	Name  string `json:"name"` // suffix of its file name
 	Title string `json:"title"`
 	X     string `json:"x"`
 	Y     string `json:"y"`
@@ -58,13 +58,13 @@
 	Points []Point `json:"points"`
 }
 
-// Point of a line.
+// Point is one point of a line.
 type Point struct {
 	X float64 `json:"x"`
 	Y float64 `json:"y"`
 }
 
-// ErrWidth is returned for a row that has not a figure for each column.
+// ErrWidth is returned for a row whose number of figures is not that of the columns.
 var ErrWidth = errors.New("figures and columns differ in number")
 
 // Add appends a case to a table.
@@ -75,7 +75,7 @@
 // Add appends a point to a line.
 func (l *Line) Add(x, y float64) { l.Points = append(l.Points, Point{x, y}) }
 
-// Write writes a report's files into a folder: Name.json, Name.md, and Name-Plot.svg of each
+// Write writes the report into a folder: Name.json, Name.md, and Name-Plot.svg for each
 // plot.
 func (r *Report) Write(dir string) error {
 	text, err := r.Markdown()
@@ -104,10 +104,10 @@
 	return nil
 }
 
-// Markdown returns a report as a page that shows its plots.
+// Markdown returns the report as a Markdown page that links its plots.
 func (r *Report) Markdown() ([]byte, error) {
 	var b strings.Builder
-	fmt.Fprintf(&b, "# %s\n\n%s; mean of seeds %s.\n", r.Title, r.Setup, seeds(r.Seeds))
+	fmt.Fprintf(&b, "# %s\n\n%s; mean of seeds %s.\n", r.Title, r.Setup, joinSeeds(r.Seeds))
 	for i := range r.Tables {
 		if err := r.Tables[i].markdown(&b); err != nil {
 			return nil, fmt.Errorf("table %s: %w", r.Tables[i].Title, err)
@@ -119,7 +119,7 @@
 	return []byte(b.String()), nil
 }
 
-func seeds(all []uint64) string {
+func joinSeeds(all []uint64) string {
 	names := make([]string, 0, len(all))
 	for _, s := range all {
 		names = append(names, strconv.FormatUint(s, 10))
--- a/internal/tool/trial/trial_test.go
+++ b/internal/tool/trial/trial_test.go
@@ -14,7 +14,7 @@
 	"github.com/matryer/is"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 func sample() *Report {
 	t := Table{Title: "How jobs ended", Case: "load", Columns: []Column{{Name: "in aim", Decimals: 3}, {Name: "p95", Unit: "ms", Decimals: 1}}}
@@ -29,7 +29,7 @@
 	}
 }
 
-// A report is a page, the same figures for programs, and drawings that are well-formed.
+// Markdown and JSON equal the golden files, and the plots are well-formed XML.
 func TestReportIsWritten(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
@@ -58,7 +58,7 @@
 	}
 }
 
-// What is written for programs is read back as it was.
+// A report survives encoding to JSON and decoding.
 func TestReportIsReadBack(t *testing.T) {
 	is := is.New(t)
 	r := sample()
@@ -69,8 +69,8 @@
 	is.Equal(&back, r)
 }
 
-// Symptom: figures stand under the wrong heading. Sequence: a column is added and one
-// case forgotten. Cause: rows are not held against the columns.
+// Guards against figures under the wrong heading: a column was added but one case
+// forgotten, and rows were not checked against the columns.
 func TestRowsHaveAFigureForEachColumn(t *testing.T) {
 	is := is.New(t)
 	r := sample()
