--- a/internal/tool/soak/fault.go
+++ b/internal/tool/soak/fault.go
@@ -11,191 +11,192 @@
 	"dahliawinch/internal/plat/fakes"
 )
 
-// disturb plays faults one after the other, some of which overlap, until ctx ends.
-func (s *Soak) disturb(ctx context.Context) {
+// injectFaults injects faults, some of which overlap, until ctx ends.
+func (s *Soak) injectFaults(ctx context.Context) {
 	for {
-		wait := time.Duration(300+s.r.IntN(1500)) * time.Millisecond
+		wait := time.Duration(300+s.faultRand.IntN(1500)) * time.Millisecond
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(wait):
 		}
-		name, do := s.draw()
-		s.note(name)
+		name, do := s.randomFault()
+		s.record(name)
 		do()
-		if s.declares.IntN(4) == 0 {
-			s.declare(s.vms[s.declares.IntN(len(s.vms))])
+		if s.settingsRand.IntN(4) == 0 {
+			s.randomSettings(s.vms[s.settingsRand.IntN(len(s.vms))])
 		}
 	}
 }
 
-// note adds to the list of what was played.
-func (s *Soak) note(what string) {
+// record adds an entry to the report's list of faults.
+func (s *Soak) record(what string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = append(s.faults, fmt.Sprintf("%.1fs %s", time.Since(s.began).Seconds(), what))
 }
 
-// declare changes a VM's settings while it runs: other seeds, or a file that must not be
-// taken over. It is told by a signal, or finds out by itself.
-func (s *Soak) declare(v *vm) {
-	set := maps.Clone(v.set)
+// randomSettings changes a VM's settings while it runs: other seeds, or invalid settings that
+// it must not apply. The VM gets a SIGHUP, or polls the file.
+func (s *Soak) randomSettings(v *vm) {
+	settings := maps.Clone(v.settings)
 	name := "broken"
-	switch s.declares.IntN(3) {
+	switch s.settingsRand.IntN(3) {
 	case 0:
-		set["mesh"] = "nowhere"
+		settings["mesh"] = "nowhere"
 	case 1:
 		name = "stale"
-		set["seeds"] = v.set["ready"] // nobody speaks there as a VM
+		settings["seeds"] = v.settings["ready"] // no peer listens there
 	default:
 		name = "good"
-		set["seeds"] = s.ends()
+		settings["seeds"] = s.seeds()
 	}
-	hup := s.declares.IntN(2) == 0
-	s.note(fmt.Sprintf("%s settings for vm %d, told %t", name, v.n, hup))
-	s.change(v, set, hup)
+	hup := s.settingsRand.IntN(2) == 0
+	s.record(fmt.Sprintf("%s settings for vm %d, SIGHUP %t", name, v.n, hup))
+	s.change(v, settings, hup)
 }
 
-// ends are the first VM and the last, as seeds.
-func (s *Soak) ends() string {
-	return fmt.Sprint(s.vms[0].set["mesh"], ",", s.vms[len(s.vms)-1].set["mesh"])
+// seeds returns the first and the last VM as a list of seeds.
+func (s *Soak) seeds() string {
+	return fmt.Sprint(s.vms[0].settings["mesh"], ",", s.vms[len(s.vms)-1].settings["mesh"])
 }
 
-// change lets other settings stand for a while, unless the VM is restarted just now: it must find some
-// that it can begin with.
-func (s *Soak) change(v *vm, set map[string]any, hup bool) {
-	if !v.life.TryLock() {
-		s.note(fmt.Sprintf("vm %d is restarted, not changed", v.n))
+// change applies other settings for settingsSpan, unless the VM is being restarted: it needs valid
+// settings to start.
+func (s *Soak) change(v *vm, settings map[string]any, hup bool) {
+	if !v.restartMu.TryLock() {
+		s.record(fmt.Sprintf("vm %d is being restarted, settings not changed", v.n))
 		return
 	}
-	defer v.life.Unlock()
-	if err := v.write(set); err != nil {
-		s.note(err.Error())
+	defer v.restartMu.Unlock()
+	if err := v.write(settings); err != nil {
+		s.record(err.Error())
 	}
 	if hup {
 		s.signal(v, syscall.SIGHUP)
 	}
-	time.AfterFunc(settingsFor, func() {
-		if err := v.write(v.set); err != nil {
-			panic(err) // the run would go on with settings that nobody chose
+	time.AfterFunc(settingsSpan, func() {
+		if err := v.write(v.settings); err != nil {
+			panic(err) // the run would go on with the wrong settings
 		}
 	})
 }
 
-// settingsFor is how long changed settings stand: as long as a daemon takes to look.
-const settingsFor = 1500 * time.Millisecond
+// settingsSpan is how long changed settings last: long enough for a daemon to notice them, which polls each second.
+const settingsSpan = 1500 * time.Millisecond
 
-// draw makes one fault; what lasts is undone in the background or by calm.
-func (s *Soak) draw() (string, func()) {
-	v := s.vms[s.r.IntN(len(s.vms))]
-	n := s.r.IntN(len(s.eps))
-	d := time.Duration(200+s.r.IntN(2500)) * time.Millisecond
-	switch s.r.IntN(8) {
+// randomFault returns the name of a fault and a function that injects it. Lasting faults are
+// undone in the background or by clearFaults.
+func (s *Soak) randomFault() (string, func()) {
+	v := s.vms[s.faultRand.IntN(len(s.vms))]
+	n := s.faultRand.IntN(len(s.endpoints))
+	d := time.Duration(200+s.faultRand.IntN(2500)) * time.Millisecond
+	switch s.faultRand.IntN(8) {
 	case 0:
 		return fmt.Sprintf("kill vm %d for %s", v.n, d), func() { s.restart(v, syscall.SIGKILL, d) }
 	case 1:
 		return fmt.Sprintf("stop vm %d", v.n), func() { s.restart(v, syscall.SIGTERM, 0) }
 	case 2:
 		return fmt.Sprintf("pause vm %d for %s", v.n, d), func() {
-			s.postpone(d)
+			s.postponeCordon(d)
 			s.signal(v, syscall.SIGSTOP)
 			time.AfterFunc(d, func() { s.signal(v, syscall.SIGCONT) })
 		}
 	case 3:
-		return fmt.Sprintf("store away for %s", d), func() {
-			s.postpone(d)
+		return fmt.Sprintf("store down for %s", d), func() {
+			s.postponeCordon(d)
 			s.store.Down(true)
 			time.AfterFunc(d, func() { s.store.Down(false) })
 		}
 	case 4:
-		m := []mode{delay, silent, refuse}[s.r.IntN(3)]
-		return fmt.Sprintf("endpoint %d proxy %d for %s", n, m, d), func() {
-			s.doors[n].set(m)
-			time.AfterFunc(d, func() { s.doors[n].set(pass) })
+		m := []mode{delay, silent, refuse}[s.faultRand.IntN(3)]
+		return fmt.Sprintf("endpoint %d proxy mode %d for %s", n, m, d), func() {
+			s.proxies[n].setMode(m)
+			time.AfterFunc(d, func() { s.proxies[n].setMode(pass) })
 		}
 	case 5:
-		m := []mode{delay, silent, refuse}[s.r.IntN(3)]
-		return fmt.Sprintf("store proxy %d for %s", m, d), func() {
-			s.postpone(d)
+		m := []mode{delay, silent, refuse}[s.faultRand.IntN(3)]
+		return fmt.Sprintf("store proxy mode %d for %s", m, d), func() {
+			s.postponeCordon(d)
 			for _, v := range s.vms {
-				v.lose(m, d)
+				v.disturbStore(m, d)
 			}
 		}
 	case 6:
-		m := []fakes.Manners{{Late: 0.2, Delay: d}, {Mute: true}, {Hang: true}, {Fail: true}, {Slow: 5}}[s.r.IntN(5)]
+		m := []fakes.Manners{{Late: 0.2, Delay: d}, {Mute: true}, {Hang: true}, {Fail: true}, {Slow: 5}}[s.faultRand.IntN(5)]
 		return fmt.Sprintf("endpoint %d manners %+v for %s", n, m, d), func() {
-			e := s.ep(n)
+			e := s.endpointAt(n)
 			e.Set(m)
 			time.AfterFunc(d, func() { e.Set(fakes.Manners{}) })
 		}
 	default:
-		return "all silent connections to endpoints", func() {
-			for _, p := range s.doors {
-				p.set(silent)
+		return "all connections to endpoints silent", func() {
+			for _, p := range s.proxies {
+				p.setMode(silent)
 			}
 			time.AfterFunc(d/4, func() {
-				for _, p := range s.doors {
-					p.set(pass)
+				for _, p := range s.proxies {
+					p.setMode(pass)
 				}
 			})
 		}
 	}
 }
 
-// restart ends a daemon and starts it again once its process is gone.
+// restart ends a daemon and starts it again once its process has exited.
 func (s *Soak) restart(v *vm, sig syscall.Signal, down time.Duration) {
-	v.life.Lock()
-	defer v.life.Unlock()
+	v.restartMu.Lock()
+	defer v.restartMu.Unlock()
 	s.mu.Lock()
-	ended := v.ended
+	exited := v.exited
 	s.mu.Unlock()
 	s.signal(v, syscall.SIGCONT)
 	s.signal(v, sig)
 	select {
-	case <-ended:
+	case <-exited:
 	case <-time.After(7 * time.Second):
 		s.signal(v, syscall.SIGKILL)
-		<-ended
+		<-exited
 	}
 	time.Sleep(down)
-	err := v.write(v.set) // whoever starts a daemon gives it settings that it can begin with
+	err := v.write(v.settings) // a daemon needs valid settings to start
 	if err == nil {
 		err = s.start(v)
 	}
 	if err != nil {
-		s.note(err.Error())
+		s.record(err.Error())
 		return
 	}
-	s.up(v)
+	s.waitReady(v)
 }
 
-// upWithin is how long a restart waits for the daemon, which has read its settings then.
-const upWithin = 2 * time.Second
+// startTimeout is how long a restart waits for the daemon to listen; it has read its settings by then.
+const startTimeout = 2 * time.Second
 
-// up waits until a daemon that was started takes callers.
-func (s *Soak) up(v *vm) {
-	for until := time.Now().Add(upWithin); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
-		if c, err := net.DialTimeout("tcp", v.callers.String(), upWithin); err == nil {
+// waitReady waits until a started daemon accepts connections of callers.
+func (s *Soak) waitReady(v *vm) {
+	for until := time.Now().Add(startTimeout); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
+		if c, err := net.DialTimeout("tcp", v.callerAddr.String(), startTimeout); err == nil {
 			_ = c.Close()
 			return
 		}
 	}
-	s.note(fmt.Sprintf("vm %d takes no callers %s after its start", v.n, upWithin))
+	s.record(fmt.Sprintf("vm %d accepts no callers %s after its start", v.n, startTimeout))
 }
 
-// calm undoes all faults.
-func (s *Soak) calm() {
-	time.Sleep(3 * time.Second) // what lasts has ended by then
+// clearFaults undoes all faults.
+func (s *Soak) clearFaults() {
+	time.Sleep(3 * time.Second) // lasting faults have ended by then
 	for _, v := range s.vms {
 		s.signal(v, syscall.SIGCONT)
 	}
 	s.store.Down(false)
 	s.store.Lose(false)
 	for _, v := range s.vms {
-		v.vault.set(pass)
+		v.storeProxy.setMode(pass)
 	}
-	for i := range s.eps {
-		s.ep(i).Set(fakes.Manners{})
-		s.doors[i].set(pass)
+	for i := range s.endpoints {
+		s.endpointAt(i).Set(fakes.Manners{})
+		s.proxies[i].setMode(pass)
 	}
 }
--- a/internal/tool/soak/load.go
+++ b/internal/tool/soak/load.go
@@ -16,54 +16,54 @@
 )
 
 const (
-	// patience is how long callers wait for an answer beyond twice the time that tasks take.
-	patience = 2500 * time.Millisecond
-	// again is how long after a broken connection or an unknown outcome a caller submits its job once more.
-	again = 1300 * time.Millisecond
-	// longOf is of how many jobs one has tasks of seconds.
-	longOf = 3
-	// mostConns is how many jobs a VM may have from callers.
-	mostConns = 1 << 14
-	// guiltyOf is of how many jobs one has a task that crashes what starts it.
-	guiltyOf = 100
-	// tries is how often it submits a job at most.
-	tries = 4
+	// answerTimeout is how long callers wait for an answer beyond twice the run time of a task.
+	answerTimeout = 2500 * time.Millisecond
+	// resubmitAfter is the time from a broken connection or an unknown outcome to the next try of the job.
+	resubmitAfter = 1300 * time.Millisecond
+	// longEvery is the number of jobs of which one has tasks that run for seconds.
+	longEvery = 3
+	// maxConns limits connections to a VM, and so the number of jobs that callers have there.
+	maxConns = 1 << 14
+	// crashEvery is the number of jobs of which one has a task that crashes its endpoint.
+	crashEvery = 100
+	// maxTries is how often a caller submits a job at most.
+	maxTries = 4
 )
 
-// load submits jobs until ctx ends; callers keep their connections.
+// load submits jobs until ctx ends. Connections are reused.
 func (s *Soak) load(ctx context.Context, wg *sync.WaitGroup) {
 	r := rand.New(rand.NewPCG(s.Seed, 7))
 	clients := make([]*fasthttp.HostClient, len(s.vms))
 	for i, v := range s.vms {
-		clients[i] = &fasthttp.HostClient{Addr: v.callers.String(), MaxConns: mostConns, MaxIdemponentCallAttempts: 1}
+		clients[i] = &fasthttp.HostClient{Addr: v.callerAddr.String(), MaxConns: maxConns, MaxIdemponentCallAttempts: 1}
 	}
 	for n := 1; ctx.Err() == nil; n++ {
 		id := fmt.Sprintf("%08x%08x", s.Seed, n)
 		tasks, run := 1+r.IntN(6), time.Duration(30+r.IntN(600))*time.Millisecond
-		if s.longs.IntN(longOf) == 0 {
-			tasks, run = 1+s.longs.IntN(2), time.Duration(1000+s.longs.IntN(2000))*time.Millisecond
+		if s.longRand.IntN(longEvery) == 0 {
+			tasks, run = 1+s.longRand.IntN(2), time.Duration(1000+s.longRand.IntN(2000))*time.Millisecond
 		}
 		cores := 10 + 20*r.Float64()
-		guilty := s.guilt.IntN(guiltyOf) == 0
+		crash := s.crashRand.IntN(crashEvery) == 0
 		for i := range tasks {
-			s.judge.Expect(batch.Task{Job: id, Index: i}.String(), fakes.Work{Need: job.Size{Cores: cores}, Run: run, Crash: guilty && i == 0})
+			s.judge.Expect(batch.Task{Job: id, Index: i}.String(), fakes.Work{Need: job.Size{Cores: cores}, Run: run, Crash: crash && i == 0})
 		}
 		prefix := []string{"/u/", "/p/"}[r.IntN(2)]
 		first := r.IntN(len(clients))
 		wg.Go(func() {
-			s.submit(clients, first, prefix+id, id, tasks, patience+2*run, stand.Job("x", tasks, cores, run))
+			s.submit(clients, first, prefix+id, id, tasks, answerTimeout+2*run, stand.Job("x", tasks, cores, run))
 		})
 		time.Sleep(time.Duration(r.ExpFloat64() / s.Rate * float64(time.Second)))
 	}
 }
 
-// submit plays one caller: after a broken connection or an unknown outcome it submits
-// the same job again at another VM.
+// submit acts as one caller: after a broken connection or an unknown outcome it submits
+// the same job to another VM.
 func (s *Soak) submit(clients []*fasthttp.HostClient, first int, path, id string, tasks int, wait time.Duration, body []byte) {
 	a := job.Answer{Outcome: job.Refused}
-	for t := range tries {
+	for t := range maxTries {
 		if t > 0 {
-			time.Sleep(again)
+			time.Sleep(resubmitAfter)
 			s.judge.Again(id)
 		}
 		out := stand.Submit(clients[(first+t)%len(clients)], host, path, body, wait)
@@ -76,6 +76,6 @@
 	}
 	s.judge.Answered(id, tasks, a)
 	s.mu.Lock()
-	s.told[a.Outcome]++
+	s.outcomes[a.Outcome]++
 	s.mu.Unlock()
 }
--- a/internal/tool/soak/outlive.go
+++ b/internal/tool/soak/outlive.go
@@ -11,29 +11,29 @@
 	"github.com/valyala/fasthttp"
 )
 
-// outlivedBucket begins the lines of the histogram of how long runs go on after the last keepalive of their job.
+// outlivedBucket is the line prefix of the histogram of how long runs go on after the last keepalive of their job.
 const outlivedBucket = `dahliawinch_outlived_seconds_bucket{le="`
 
-// outlived is the bound of the highest bucket of any VM's histogram that is not empty. A daemon that was restarted has
-// counted since then; beyond the last bucket it is an hour.
-func (s *Soak) outlived() (most time.Duration, err error) {
+// outlived returns the bound of the highest non-empty bucket of all VMs' histograms, or an hour if it is the last, unbounded
+// bucket. Restarted daemons have counted since their restart only.
+func (s *Soak) outlived() (longest time.Duration, err error) {
 	for _, v := range s.vms {
-		_, text, err := fasthttp.GetTimeout(nil, fmt.Sprintf("http://%s/metrics", v.set["metrics"]), time.Second)
+		_, text, err := fasthttp.GetTimeout(nil, fmt.Sprintf("http://%s/metrics", v.settings["metrics"]), time.Second)
 		if err != nil {
-			return most, fmt.Errorf("metrics of vm %d: %w", v.n, err)
+			return longest, fmt.Errorf("metrics of vm %d: %w", v.n, err)
 		}
-		d, err := highest(text)
+		d, err := highestBucket(text)
 		if err != nil {
-			return most, fmt.Errorf("metrics of vm %d: %w", v.n, err)
+			return longest, fmt.Errorf("metrics of vm %d: %w", v.n, err)
 		}
-		most = max(most, d)
+		longest = max(longest, d)
 	}
-	return most, nil
+	return longest, nil
 }
 
-// highest is the bound of the histogram's highest bucket that is not empty.
-func highest(text []byte) (bound time.Duration, err error) {
-	before := 0.0
+// highestBucket returns the bound of the histogram's highest non-empty bucket.
+func highestBucket(text []byte) (bound time.Duration, err error) {
+	prev := 0.0
 	for lines := bufio.NewScanner(bytes.NewReader(text)); lines.Scan(); {
 		rest, ok := strings.CutPrefix(lines.Text(), outlivedBucket)
 		if !ok {
@@ -44,10 +44,10 @@
 		if err != nil {
 			return 0, fmt.Errorf("bucket %s: %w", le, err)
 		}
-		if n == before {
+		if n == prev {
 			continue
 		}
-		before = n
+		prev = n
 		if le == "+Inf" {
 			bound = time.Hour
 			continue
--- a/internal/tool/soak/outlive_test.go
+++ b/internal/tool/soak/outlive_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Guards against a report of runs that ended in time when none was counted there.
+// Guards against a report of late runs although the cumulative count of that bucket did not grow.
 func TestHighestBucketIsOneThatCounted(t *testing.T) {
 	const head = `dahliawinch_outlived_seconds_bucket{le="0.1"} 2
 dahliawinch_outlived_seconds_bucket{le="1.0999999999999999"} 3
@@ -16,7 +16,7 @@
 		head + `dahliawinch_outlived_seconds_bucket{le="+Inf"} 3`: 1100 * time.Millisecond,
 		head + `dahliawinch_outlived_seconds_bucket{le="+Inf"} 4`: time.Hour,
 	} {
-		if got, err := highest([]byte(text)); err != nil || got != want {
+		if got, err := highestBucket([]byte(text)); err != nil || got != want {
 			t.Errorf("%s, %v of %q, want %s", got, err, text, want)
 		}
 	}
--- a/internal/tool/soak/proxy.go
+++ b/internal/tool/soak/proxy.go
@@ -1,5 +1,5 @@
-// Package soak runs real daemons as processes on loopback, injects faults from outside of
-// them and checks the promises from what callers and endpoints see.
+// Package soak runs real daemons as processes on loopback, injects faults from outside
+// and checks the guarantees by what callers and endpoints observe.
 package soak
 
 import (
@@ -10,36 +10,36 @@
 	"dahliawinch/internal/base/timer"
 )
 
-// mode is what a proxy does to its connections.
+// mode is how a proxy treats its connections.
 type mode int
 
 const (
 	pass mode = iota
 	delay
-	silent // bytes go nowhere, connections stay open
-	refuse // open connections are reset, new ones too
+	silent // bytes are dropped, connections stay open
+	refuse // open and new connections are closed
 	slow   // all connections share slowRate
 )
 
-// lag is what a delaying proxy adds to each piece.
-const lag = 40 * time.Millisecond
+// addedDelay is how long a proxy in mode delay holds back each read.
+const addedDelay = 40 * time.Millisecond
 
 const (
-	// slowRate is what a slow proxy carries, in bytes a second: some 40 orders.
+	// slowRate is the bandwidth of a slow proxy in bytes per second: some 40 requests.
 	slowRate = 20_000
-	// piece is what it sends at a time.
-	piece = 512
+	// chunkSize is how many bytes it sends at a time.
+	chunkSize = 512
 )
 
-// proxy stands between the daemons and one endpoint, or between one of them and the store.
+// proxy forwards connections from the daemons to one endpoint, or from one daemon to the store.
 type proxy struct {
-	l  net.Listener
-	to string
+	listener net.Listener
+	target   string
 
-	mu    sync.Mutex
-	mode  mode
-	free  time.Time // when a slow proxy has sent what came before
-	conns map[net.Conn]bool
+	mu       sync.Mutex
+	mode     mode
+	nextSend time.Time // when a slow proxy has sent all earlier chunks
+	conns    map[net.Conn]bool
 }
 
 func newProxy(to string) (*proxy, error) {
@@ -47,15 +47,15 @@
 	if err != nil {
 		return nil, err //nolint:wrapcheck // a listener's own error
 	}
-	p := &proxy{l: l, to: to, conns: map[net.Conn]bool{}}
+	p := &proxy{listener: l, target: to, conns: map[net.Conn]bool{}}
 	go p.accept()
 	return p, nil
 }
 
-func (p *proxy) set(m mode) {
+func (p *proxy) setMode(m mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.mode, p.free = m, time.Time{}
+	p.mode, p.nextSend = m, time.Time{}
 	if m == refuse {
 		for c := range p.conns {
 			_ = c.Close()
@@ -63,28 +63,28 @@
 	}
 }
 
-func (p *proxy) now() mode {
+func (p *proxy) currentMode() mode {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode
 }
 
 func (p *proxy) close() {
-	_ = p.l.Close()
-	p.set(refuse)
+	_ = p.listener.Close()
+	p.setMode(refuse)
 }
 
 func (p *proxy) accept() {
 	for {
-		c, err := p.l.Accept()
+		c, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		if p.now() == refuse {
+		if p.currentMode() == refuse {
 			_ = c.Close()
 			continue
 		}
-		up, err := net.Dial("tcp", p.to)
+		up, err := net.Dial("tcp", p.target)
 		if err != nil {
 			_ = c.Close()
 			continue
@@ -114,33 +114,33 @@
 	}
 }
 
-// send writes what was read, as the mode allows.
+// send writes the bytes that were read, as the mode allows.
 func (p *proxy) send(to net.Conn, b []byte) error {
 	for len(b) > 0 {
 		n := len(b)
-		switch p.now() {
+		switch p.currentMode() {
 		case silent:
 			return nil
 		case delay:
-			time.Sleep(lag)
+			time.Sleep(addedDelay)
 		case slow:
-			n = min(n, piece)
-			time.Sleep(p.turn(n))
+			n = min(n, chunkSize)
+			time.Sleep(p.queueDelay(n))
 		default:
 		}
 		if _, err := to.Write(b[:n]); err != nil {
-			return err //nolint:wrapcheck // it ends the connection, no more
+			return err //nolint:wrapcheck // it only ends the connection
 		}
 		b = b[n:]
 	}
 	return nil
 }
 
-// turn is how long a piece waits for those of all connections before it.
-func (p *proxy) turn(n int) time.Duration {
+// queueDelay returns how long a chunk of n bytes waits at slowRate behind those of all connections.
+func (p *proxy) queueDelay(n int) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	p.free = timer.Later(p.free, now).Add(time.Duration(n) * time.Second / slowRate)
-	return p.free.Sub(now)
+	p.nextSend = timer.Later(p.nextSend, now).Add(time.Duration(n) * time.Second / slowRate)
+	return p.nextSend.Sub(now)
 }
--- a/internal/tool/soak/soak.go
+++ b/internal/tool/soak/soak.go
@@ -24,9 +24,9 @@
 	"dahliawinch/platform/stand"
 )
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
-	Binary    string // the program that runs daemons
+	Binary    string // daemon program
 	Dir       string // for settings and logs
 	Seed      uint64
 	Domains   int
@@ -36,89 +36,89 @@
 	Span      time.Duration
 }
 
-// Report of a run.
+// Report holds the results of a run.
 type Report struct {
-	Faults   []string
-	Outcomes map[job.Outcome]int
-	Starts   int
-	Broken   []string
-	// Outlived bounds how long runs went on after the last keepalive of their job, as far as daemons tell at the end.
+	Faults     []string
+	Outcomes   map[job.Outcome]int
+	Starts     int
+	Violations []string
+	// Outlived bounds how long runs went on after the last keepalive of their job, by the daemons' metrics at the end.
 	Outlived time.Duration
 }
 
 const (
 	pool = "pool"
 	host = "soak.example"
-	// warm is how long the daemons have before callers come.
-	warm = 2 * time.Second
-	// settle is how long runs may take to end after the last caller.
+	// warmup is the time from the daemons' start to the first job.
+	warmup = 2 * time.Second
+	// settle is how long runs may take to end after the last job.
 	settle = 4 * time.Second
 )
 
-// Soak is a deployment of processes in play.
+// Soak is a deployment of daemon processes with their store, endpoints and faults.
 type Soak struct {
 	Options
-	judge *grid.Judge
-	store *stand.Store
-	r     *rand.Rand // of the faults, one goroutine
-	// declares is of the settings, so that a seed's other faults stay what they were.
-	declares *rand.Rand
-	// harasses is of what harass plays, and guilt of the jobs that crash their endpoints.
-	harasses, guilt *rand.Rand
-	// strikes is of what strike plays, longs of the jobs with tasks of seconds.
-	strikes, longs *rand.Rand
+	judge     *grid.Judge
+	store     *stand.Store
+	faultRand *rand.Rand // for injectFaults; used by one goroutine
+	// settingsRand is for changes of settings. Separate generators keep a seed's other faults as they were.
+	settingsRand *rand.Rand
+	// eventRand is for injectEvents, crashRand for jobs that crash their endpoints.
+	eventRand, crashRand *rand.Rand
+	// seriesRand is for injectSeries, longRand for jobs with tasks of seconds.
+	seriesRand, longRand *rand.Rand
 
 	began time.Time
 
-	mu     sync.Mutex
-	vms    []*vm
-	eps    []*fakes.Leased
-	doors  []*proxy  // before each endpoint
-	lives  int       // of endpoints that were reborn
-	shut   []string  // endpoints that are cordoned,
-	force  time.Time // and from when on a VM in touch may know
-	faulty time.Time // until then VMs may hear nothing
-	faults []string
-	told   map[job.Outcome]int
-	stops  []func()
+	mu          sync.Mutex
+	vms         []*vm
+	endpoints   []*fakes.Leased
+	proxies     []*proxy  // one for each endpoint
+	replaced    int       // number of replaced endpoints
+	cordonedIDs []string  // IDs of cordoned endpoints
+	cordonKnown time.Time // when connected VMs can learn of the cordon
+	faultyUntil time.Time // until then VMs may miss changes in the store
+	faults      []string
+	outcomes    map[job.Outcome]int
+	cleanups    []func()
 }
 
 // vm is one daemon and its process.
 type vm struct {
-	n        int
-	callers  netip.AddrPort
-	settings string
-	set      map[string]any // what stands there
-	vault    *proxy         // between it and the store
-	life     sync.Mutex     // held while it is restarted
-	file     sync.Mutex     // held while settings are written
-	cmd      *exec.Cmd
-	log      *os.File
-	ended    chan struct{}
+	n            int
+	callerAddr   netip.AddrPort
+	settingsPath string
+	settings     map[string]any // content of the settings file
+	storeProxy   *proxy         // to the store
+	restartMu    sync.Mutex     // held during a restart
+	fileMu       sync.Mutex     // guards the settings file
+	cmd          *exec.Cmd
+	log          *os.File
+	exited       chan struct{}
 }
 
-// Run plays one seed.
+// Run executes one run and reports what it observed.
 func Run(ctx context.Context, o Options) (Report, error) {
-	s := &Soak{Options: o, judge: grid.NewJudge(), store: stand.NewStore(), r: rand.New(rand.NewPCG(o.Seed, 31)), declares: rand.New(rand.NewPCG(o.Seed, 32)), harasses: rand.New(rand.NewPCG(o.Seed, 33)), guilt: rand.New(rand.NewPCG(o.Seed, 34)), strikes: rand.New(rand.NewPCG(o.Seed, 35)), longs: rand.New(rand.NewPCG(o.Seed, 36)), told: map[job.Outcome]int{}}
-	defer s.end()
+	s := &Soak{Options: o, judge: grid.NewJudge(), store: stand.NewStore(), faultRand: rand.New(rand.NewPCG(o.Seed, 31)), settingsRand: rand.New(rand.NewPCG(o.Seed, 32)), eventRand: rand.New(rand.NewPCG(o.Seed, 33)), crashRand: rand.New(rand.NewPCG(o.Seed, 34)), seriesRand: rand.New(rand.NewPCG(o.Seed, 35)), longRand: rand.New(rand.NewPCG(o.Seed, 36)), outcomes: map[job.Outcome]int{}}
+	defer s.shutdown()
 	if err := s.build(); err != nil {
 		return Report{}, fmt.Errorf("soak seed %d: %w", o.Seed, err)
 	}
 	s.began = time.Now()
-	ctx, cancel := context.WithTimeout(ctx, warm+o.Span)
+	ctx, cancel := context.WithTimeout(ctx, warmup+o.Span)
 	defer cancel()
 	var wg sync.WaitGroup
-	wg.Go(func() { s.disturb(ctx) })
-	wg.Go(func() { s.harass(ctx) })
-	wg.Go(func() { s.strike(ctx) })
-	time.Sleep(warm)
+	wg.Go(func() { s.injectFaults(ctx) })
+	wg.Go(func() { s.injectEvents(ctx) })
+	wg.Go(func() { s.injectSeries(ctx) })
+	time.Sleep(warmup)
 	s.load(ctx, &wg)
 	wg.Wait()
-	s.calm()
+	s.clearFaults()
 	time.Sleep(settle)
-	rep := Report{Faults: s.faults, Outcomes: s.told, Starts: s.judge.Starts, Broken: s.judge.Broken()}
+	rep := Report{Faults: s.faults, Outcomes: s.outcomes, Starts: s.judge.Starts, Violations: s.judge.Broken()}
 	if n := s.judge.Running(); n > 0 {
-		rep.Broken = append(rep.Broken, fmt.Sprintf("%d runs never ended", n))
+		rep.Violations = append(rep.Violations, fmt.Sprintf("%d runs did not end", n))
 	}
 	var err error
 	if rep.Outlived, err = s.outlived(); err != nil {
@@ -134,7 +134,7 @@
 	}
 	srv := &fasthttp.Server{Handler: h, CloseOnShutdown: true}
 	go func() { _ = srv.Serve(l) }()
-	s.stops = append(s.stops, func() { _ = l.Close() })
+	s.cleanups = append(s.cleanups, func() { _ = l.Close() })
 	return l.Addr().String(), nil
 }
 
@@ -145,12 +145,12 @@
 	}
 	s.store.Put(stand.Operator, "config", stand.Config(1, host, pool, "/u/", "/p/"))
 	for i := range s.Endpoints {
-		if err := s.endpoint(i); err != nil {
+		if err := s.addEndpoint(i); err != nil {
 			return err
 		}
 	}
 	for i := range s.VMs {
-		v, err := s.settings(i, at)
+		v, err := s.newVM(i, at)
 		if err != nil {
 			return err
 		}
@@ -164,14 +164,14 @@
 
 func (s *Soak) domain(n int) string { return fmt.Sprintf("fd-%d", n%s.Domains) }
 
-// limits of the endpoints.
+// limits holds the lease limits of the endpoints.
 var limits = lease.Limits{Hold: time.Second, Stop: 50 * time.Millisecond}
 
-func (s *Soak) endpoint(i int) error {
-	in := lease.Info{ID: fmt.Sprintf("ep-%02d", i), Domain: s.domain(i), Pool: pool, Size: room}
+func (s *Soak) addEndpoint(i int) error {
+	in := lease.Info{ID: fmt.Sprintf("ep-%02d", i), Domain: s.domain(i), Pool: pool, Size: endpointSize}
 	e := fakes.NewLeased(in, limits, s.judge, time.Duration(i)*time.Second, s.Seed+uint64(i))
-	e.Crashed = func() { s.reborn(i, e) }
-	at, err := s.serve(func(ctx *fasthttp.RequestCtx) { stand.Worker(s.ep(i))(ctx) })
+	e.Crashed = func() { s.replace(i, e) }
+	at, err := s.serve(func(ctx *fasthttp.RequestCtx) { stand.Worker(s.endpointAt(i))(ctx) })
 	if err != nil {
 		return err
 	}
@@ -179,15 +179,15 @@
 	if err != nil {
 		return fmt.Errorf("endpoint: %w", err)
 	}
-	in.Addr = p.l.Addr().(*net.TCPAddr).AddrPort()
+	in.Addr = p.listener.Addr().(*net.TCPAddr).AddrPort()
 	e.Addr = in.Addr
-	s.eps, s.doors = append(s.eps, e), append(s.doors, p)
+	s.endpoints, s.proxies = append(s.endpoints, e), append(s.proxies, p)
 	s.store.Put(stand.Workers, in.ID, stand.Entry(in))
 	return nil
 }
 
-func (s *Soak) settings(i int, store string) (*vm, error) {
-	vault, err := newProxy(store)
+func (s *Soak) newVM(i int, store string) (*vm, error) {
+	storeProxy, err := newProxy(store)
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
@@ -197,10 +197,10 @@
 			return nil, err
 		}
 	}
-	v := &vm{n: i, callers: at[0], vault: vault, settings: filepath.Join(s.Dir, fmt.Sprintf("vm-%d.json", i)), set: map[string]any{
-		"name": fmt.Sprint("vm-", i), "domain": s.domain(i), "caller": at[0], "ready": at[1], "mesh": at[2], "metrics": at[3], "store": vault.l.Addr().String(),
+	v := &vm{n: i, callerAddr: at[0], storeProxy: storeProxy, settingsPath: filepath.Join(s.Dir, fmt.Sprintf("vm-%d.json", i)), settings: map[string]any{
+		"name": fmt.Sprint("vm-", i), "domain": s.domain(i), "caller": at[0], "ready": at[1], "mesh": at[2], "metrics": at[3], "store": storeProxy.listener.Addr().String(),
 	}}
-	if err = v.write(v.set); err != nil {
+	if err = v.write(v.settings); err != nil {
 		return nil, err
 	}
 	v.log, err = os.Create(filepath.Join(s.Dir, fmt.Sprintf("vm-%d.log", i)))
@@ -210,38 +210,38 @@
 	return v, nil
 }
 
-// write puts settings where the daemon reads them, whole.
-func (v *vm) write(set map[string]any) error {
-	text, err := json.Marshal(set)
+// write replaces the settings file atomically.
+func (v *vm) write(settings map[string]any) error {
+	text, err := json.Marshal(settings)
 	if err != nil {
 		return fmt.Errorf("settings of vm %d: %w", v.n, err)
 	}
-	v.file.Lock()
-	defer v.file.Unlock()
-	next := v.settings + ".next"
+	v.fileMu.Lock()
+	defer v.fileMu.Unlock()
+	next := v.settingsPath + ".next"
 	if err := os.WriteFile(next, text, 0o600); err != nil {
 		return fmt.Errorf("settings of vm %d: %w", v.n, err)
 	}
-	if err := os.Rename(next, v.settings); err != nil {
+	if err := os.Rename(next, v.settingsPath); err != nil {
 		return fmt.Errorf("settings of vm %d: %w", v.n, err)
 	}
 	return nil
 }
 
-// start starts a daemon's process; the caller knows that it is not running.
+// start starts a daemon's process, which must not be running.
 func (s *Soak) start(v *vm) error {
-	cmd := exec.Command(s.Binary, "serve", v.settings) //nolint:noctx // it is ended by signals
+	cmd := exec.Command(s.Binary, "serve", v.settingsPath) //nolint:noctx // ended by signals
 	cmd.Stdout, cmd.Stderr = v.log, v.log
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("start vm %d: %w", v.n, err)
 	}
-	ended := make(chan struct{})
+	exited := make(chan struct{})
 	s.mu.Lock()
-	v.cmd, v.ended = cmd, ended
+	v.cmd, v.exited = cmd, exited
 	s.mu.Unlock()
 	go func() {
-		_ = cmd.Wait() // how a killed process ended says nothing
-		close(ended)
+		_ = cmd.Wait() // the exit status of a killed process means nothing
+		close(exited)
 	}()
 	return nil
 }
@@ -250,23 +250,23 @@
 	s.mu.Lock()
 	p := v.cmd.Process
 	s.mu.Unlock()
-	_ = p.Signal(sig) // it may have ended already
+	_ = p.Signal(sig) // it may have exited already
 }
 
-// end ends what this run started, by its own handles.
-func (s *Soak) end() {
+// shutdown ends all processes, proxies and servers that this run started.
+func (s *Soak) shutdown() {
 	for _, v := range s.vms {
 		if v.cmd != nil {
 			s.signal(v, syscall.SIGKILL)
-			<-v.ended
+			<-v.exited
 		}
 		_ = v.log.Close()
-		v.vault.close()
+		v.storeProxy.close()
 	}
-	for _, p := range s.doors {
+	for _, p := range s.proxies {
 		p.close()
 	}
-	for _, stop := range s.stops {
+	for _, stop := range s.cleanups {
 		stop()
 	}
 }
--- a/internal/tool/soak/soak_test.go
+++ b/internal/tool/soak/soak_test.go
@@ -13,28 +13,28 @@
 )
 
 var (
-	seeds   = flag.Int("seeds", 1, "seeds to play")
-	seed    = flag.Uint64("seed", 1, "the first of them")
-	keep    = flag.String("keep", "", "folder for the daemons' logs, which are else dropped")
-	vms     = flag.Int("vms", 8, "daemons")
-	domains = flag.Int("domains", 4, "failure domains")
-	rate    = flag.Float64("rate", 40, "jobs a second")
-	span    = flag.Duration("span", 6*time.Second, "how long callers come")
+	seeds   = flag.Int("seeds", 1, "number of seeds to run")
+	seed    = flag.Uint64("seed", 1, "first seed")
+	keep    = flag.String("keep", "", "folder to keep the daemons' logs in")
+	vms     = flag.Int("vms", 8, "number of daemons")
+	domains = flag.Int("domains", 4, "number of failure domains")
+	rate    = flag.Float64("rate", 40, "jobs per second")
+	span    = flag.Duration("span", 6*time.Second, "how long jobs are submitted")
 )
 
-// found are seeds that once broke a promise, each with its cause.
-var found = []uint64{
-	136, // a paused owner woke and started a job whose caller had submitted it again
+// regressionSeeds are seeds that once violated a guarantee, with the cause.
+var regressionSeeds = []uint64{
+	136, // a paused owner resumed and started a job that its caller had resubmitted
 }
 
-// Real daemons under faults from outside: no task runs twice at the same time, no refused
-// job began, no answer is partial, every run ends, and some jobs are done.
+// Real daemons under injected faults: no task runs twice at the same time, no refused
+// job has started, no answer is partial, every run ends, and some jobs are done.
 func TestProcessesUnderFaults(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "dahliawinch")
 	if out, err := exec.CommandContext(t.Context(), "go", "build", "-o", binary, "dahliawinch").CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
-	all := append([]uint64{}, found...)
+	all := append([]uint64{}, regressionSeeds...)
 	for i := range *seeds {
 		all = append(all, *seed+uint64(i))
 	}
@@ -53,10 +53,10 @@
 				t.Fatal(err)
 			}
 			t.Logf("%v starts %d outlived at most %s faults %q", r.Outcomes, r.Starts, r.Outlived, r.Faults)
-			for _, b := range r.Broken {
+			for _, b := range r.Violations {
 				t.Error(b)
 			}
-			if r.Outlived > again { // no bucket ends between the bound and the callers' time
+			if r.Outlived > resubmitAfter { // no bucket boundary lies between the expected bound and resubmitAfter
 				t.Errorf("runs outlived the last keepalive of their job by up to %s", r.Outlived)
 			}
 			if r.Outcomes[job.Done] == 0 {
