--- a/internal/tool/model/endpoint.go
+++ b/internal/tool/model/endpoint.go
@@ -8,27 +8,27 @@
 	"dahliawinch/internal/task/lease"
 )
 
-// endpoint has one lease for all its runs, of which one at a time is of the job, and a slow clock.
+// endpoint has a slow clock and one lease for all its runs. At most one of them is of the job.
 type endpoint struct {
-	w      *world
-	id     string
-	fence  uint64
-	until  int64 // of the lease, on its own clock
-	runs   []*running
-	past   map[string]int
-	ends   []lease.Ended
-	serial int64
+	w       *world
+	id      string
+	fence   uint64
+	until   int64 // end of the lease by the endpoint's clock
+	runs    []*activeRun
+	lastNum map[string]int // task -> highest run number that ended or was stopped
+	ended   []lease.Ended  // not acknowledged yet
+	serial  int64
 }
 
-type running struct {
+type activeRun struct {
 	lease.Name
-	of    int // the submission
-	began time.Time
-	due   time.Time
+	submission int // whose run it is
+	started    time.Time
+	due        time.Time
 }
 
 // find returns the run of a task, or nil.
-func (e *endpoint) find(task string) *running {
+func (e *endpoint) find(task string) *activeRun {
 	for _, r := range e.runs {
 		if r.Task == task {
 			return r
@@ -37,15 +37,17 @@
 	return nil
 }
 
-// percent is how much of its work a run has done.
-func (r *running) percent(now time.Time) int { return int(100 * now.Sub(r.began) / r.due.Sub(r.began)) }
+// percent returns a run's progress.
+func (r *activeRun) percent(now time.Time) int {
+	return int(100 * now.Sub(r.started) / r.due.Sub(r.started))
+}
 
-// slowClock is the part of the time that an endpoint's clock counts.
-const slowClock = 0.98
+// clockRate is the speed of an endpoint's clock relative to real time.
+const clockRate = 0.98
 
-func (e *endpoint) clock() int64 { return 1000 + int64(slowClock*float64(e.w.since().Milliseconds())) }
+func (e *endpoint) clock() int64 { return 1000 + int64(clockRate*float64(e.w.since().Milliseconds())) }
 
-func (e *endpoint) obey(fence uint64) error {
+func (e *endpoint) checkFence(fence uint64) error {
 	if fence < e.fence {
 		return &agent.RefusedError{Why: agent.Fenced}
 	}
@@ -53,8 +55,8 @@
 	return nil
 }
 
-func (e *endpoint) start(s agent.Start, of int) error {
-	if err := e.obey(s.Fence); err != nil {
+func (e *endpoint) start(s agent.Start, submission int) error {
+	if err := e.checkFence(s.Fence); err != nil {
 		return err
 	}
 	if s.Until <= e.clock() {
@@ -65,14 +67,14 @@
 	switch {
 	case r != nil && r.Name == s.Name:
 		return nil
-	case s.Name.Num <= e.past[s.Name.Task]:
+	case s.Name.Num <= e.lastNum[s.Name.Task]:
 		return &agent.RefusedError{Why: agent.Old}
 	case r != nil:
 		return &agent.RefusedError{Why: agent.NoRoom}
 	}
-	e.runs = append(e.runs, &running{s.Name, of, e.w.now, e.w.now.Add(e.w.takes(s.Name.Task))})
+	e.runs = append(e.runs, &activeRun{s.Name, submission, e.w.now, e.w.now.Add(e.w.runTime(s.Name.Task))})
 	if s.Name.Task == theTask {
-		e.w.began(e, s.Name, of)
+		e.w.checkStart(e, s.Name, submission)
 	}
 	return nil
 }
@@ -82,46 +84,46 @@
 }
 
 func (e *endpoint) stop(n lease.Name, fence uint64) error {
-	if err := e.obey(fence); err != nil {
+	if err := e.checkFence(fence); err != nil {
 		return err
 	}
-	e.past[n.Task] = max(e.past[n.Task], n.Num)
+	e.lastNum[n.Task] = max(e.lastNum[n.Task], n.Num)
 	if r := e.find(n.Task); r != nil && r.Name == n {
-		e.over(r, lease.Gone)
+		e.endRun(r, lease.Gone)
 	}
 	return nil
 }
 
-func (e *endpoint) over(r *running, how lease.How) {
+func (e *endpoint) endRun(r *activeRun, how lease.How) {
 	e.serial++
-	e.ends = append(e.ends, lease.Ended{Serial: e.serial, Name: r.Task, Num: r.Num, How: how})
-	e.past[r.Task] = max(e.past[r.Task], r.Num)
-	e.runs = slices.DeleteFunc(e.runs, func(x *running) bool { return x == r })
+	e.ended = append(e.ended, lease.Ended{Serial: e.serial, Name: r.Task, Num: r.Num, How: how})
+	e.lastNum[r.Task] = max(e.lastNum[r.Task], r.Num)
+	e.runs = slices.DeleteFunc(e.runs, func(x *activeRun) bool { return x == r })
 }
 
-// live ends what is done and what has lost its lease.
-func (e *endpoint) live() {
+// endRuns ends runs that are done or whose lease has expired.
+func (e *endpoint) endRuns() {
 	for _, r := range slices.Clone(e.runs) {
 		switch {
 		case e.clock() >= e.until:
-			e.over(r, lease.Gone)
+			e.endRun(r, lease.Gone)
 		case !e.w.now.Before(r.due):
-			e.over(r, lease.Done)
+			e.endRun(r, lease.Done)
 		}
 	}
 }
 
 func (e *endpoint) renew(o agent.Renew) (lease.Report, error) {
-	if err := e.obey(o.Fence); err != nil {
+	if err := e.checkFence(o.Fence); err != nil {
 		return lease.Report{}, err
 	}
-	for len(e.ends) > 0 && e.ends[0].Serial <= o.Cursor {
-		e.ends = e.ends[1:]
+	for len(e.ended) > 0 && e.ended[0].Serial <= o.Cursor {
+		e.ended = e.ended[1:]
 	}
 	if o.Until > 0 {
 		e.extend(o.Until)
 	}
-	r := lease.Report{Clock: e.clock(), Ended: append([]lease.Ended(nil), e.ends...)}
+	r := lease.Report{Clock: e.clock(), Ended: append([]lease.Ended(nil), e.ended...)}
 	for _, x := range e.runs {
 		r.Running = append(r.Running, lease.Listed{Name: x.Task, Num: x.Num, Percent: x.percent(e.w.now)})
 	}
--- a/internal/tool/model/entry.go
+++ b/internal/tool/model/entry.go
@@ -11,41 +11,41 @@
 	"dahliawinch/internal/task/owner"
 )
 
-// The bounds of a play with an entry VM. Its faults strike at its first words only: a later word is like
-// the ones before.
+// Bounds of a run with an entry VM. Only the first keepalives are subject to faults, since later ones are
+// like those before.
 const (
-	longHorizon = 6 * time.Second
-	longWork    = 2 * time.Second // outlasts a second submission
-	longLeft    = 5 * time.Second
-	barely      = 400 * time.Millisecond // a job that is so late is still started,
-	stale       = 700 * time.Millisecond // and one that is so late is not
-	moment      = 600 * time.Millisecond // a pause that is shorter than a lease
-	lostAfter   = 700 * time.Millisecond // an owner's silence after which the caller is answered
-	slower      = 4                      // a slow link's messages take so many times their distance
-	words       = 3                      // after the last of these the entry VM and its link are well
-	sparse      = 2                      // the owner's own faults strike at every second word
+	longHorizon      = 6 * time.Second
+	longWork         = 2 * time.Second // longer than the time to a second submission
+	longDeadline     = 5 * time.Second
+	freshDelay       = 400 * time.Millisecond // a job with this delay is still started
+	staleDelay       = 700 * time.Millisecond // a job with this delay is refused as stale
+	shortPause       = 600 * time.Millisecond // shorter than a lease
+	silenceTimeout   = 700 * time.Millisecond // silence of the owner after which the caller gets an answer
+	slowFactor       = 4                      // stretches arrival times on a slow link, counted from slowSince
+	faultyKeepalives = 3                      // keepalives that are subject to faults
+	ownerFaultEvery  = 2                      // the owner may fail at every second keepalive
 )
 
 // entry is a VM that answers the job's caller and has VM 0 run the job. VM 0 also runs a job of its own,
-// whose renewals prolong the lease of the endpoint.
+// whose renewals extend the lease of the endpoint.
 type entry struct {
-	w     *world
-	sent  time.Time // when it handed the job over
-	lost  bool      // the job never came to VM 0
-	ended bool      // it is dead, or its caller has an answer
-	again time.Time // the caller submits the job to VM 1
-	slow  time.Time // since when its link is
-	cut   bool      // its link loses all
-	read  time.Time // when the last word was sent that VM 0 has read
+	w             *world
+	sent          time.Time // when the job was forwarded
+	jobLost       bool      // the job was lost on its way to VM 0
+	ended         bool      // the VM is dead or has answered its caller
+	resubmitAt    time.Time // when the caller submits the job to VM 1
+	slowSince     time.Time // since when its link is slow
+	cut           bool      // its link loses all messages
+	lastKeepalive time.Time // send time of the last keepalive that VM 0 has read
 }
 
-// tell is the pause between two words.
-var tell = (limits.Interval() + step - 1).Truncate(step)
+// keepaliveInterval is the time between two keepalives.
+var keepaliveInterval = (limits.Interval() + step - 1).Truncate(step)
 
-// due returns the number of the word that is due, 0 if none is.
-func (e *entry) due() int {
-	if d := e.w.now.Sub(e.sent); !e.sent.IsZero() && d%tell == 0 {
-		return int(d / tell)
+// dueKeepalive returns the number of the keepalive that is due, or 0.
+func (e *entry) dueKeepalive() int {
+	if d := e.w.now.Sub(e.sent); !e.sent.IsZero() && d%keepaliveInterval == 0 {
+		return int(d / keepaliveInterval)
 	}
 	return 0
 }
@@ -54,41 +54,41 @@
 	o := e.w.vms[0]
 	switch {
 	case e.sent.IsZero():
-		if o.asked {
-			e.hand()
-			e.stumble()
+		if o.submitted {
+			e.forwardJob()
+			e.fail()
 		}
 	case e.ended:
-	case o.stands() && o.quiet() >= lostAfter:
+	case o.isDown() && o.downTime() >= silenceTimeout:
 		e.giveUp("VM 0 is silent")
-	case e.due() > 0:
-		e.keep()
-		if e.due() <= words {
-			e.stumble()
+	case e.dueKeepalive() > 0:
+		e.sendKeepalive()
+		if e.dueKeepalive() <= faultyKeepalives {
+			e.fail()
 		}
 	}
-	if e.again.IsZero() || e.w.now.Before(e.again) {
+	if e.resubmitAt.IsZero() || e.w.now.Before(e.resubmitAt) {
 		return
 	}
-	if e.w.runs(0) {
-		e.w.breaks("a run goes on for nobody")
+	if e.w.isRunning(0) {
+		e.w.addViolation("a run goes on after its job was given up")
 	}
-	if v := e.w.vms[1]; !v.asked {
+	if v := e.w.vms[1]; !v.submitted {
 		v.submit()
 	}
 }
 
-// settled reports whether nothing of the first submission can happen any more.
+// settled reports whether the first submission can cause no more events.
 func (e *entry) settled() bool {
 	o := e.w.vms[0]
-	over := o.dead || (e.lost || o.answer != nil) && !o.stands()
-	if !over || e.w.runs(0) || slices.ContainsFunc(e.w.later, func(x event) bool { return x.to == nil }) {
+	over := o.dead || (e.jobLost || o.answer != nil) && !o.isDown()
+	if !over || e.w.isRunning(0) || slices.ContainsFunc(e.w.events, func(x event) bool { return x.receiver == nil }) {
 		return false
 	}
-	if e.again.IsZero() { // it waits in vain, and its faults are past
-		return !o.dead && e.w.now.Sub(e.sent) > words*tell
+	if e.resubmitAt.IsZero() { // it will get no answer, and its faults are over
+		return !o.dead && e.w.now.Sub(e.sent) > faultyKeepalives*keepaliveInterval
 	}
-	return e.w.vms[1].asked
+	return e.w.vms[1].submitted
 }
 
 // send sends a message to VM 0.
@@ -97,185 +97,185 @@
 		return
 	}
 	at := e.w.now.Add(delay)
-	if !e.slow.IsZero() {
-		at = at.Add((slower - 1) * e.w.now.Sub(e.slow))
+	if !e.slowSince.IsZero() {
+		at = at.Add((slowFactor - 1) * e.w.now.Sub(e.slowSince))
 	}
 	o := e.w.vms[0]
 	read := func() {
 		do()
 		o.perform()
 	}
-	if at.After(e.w.now) || o.stands() {
-		e.w.later = append(e.w.later, event{at, o, read})
+	if at.After(e.w.now) || o.isDown() {
+		e.w.events = append(e.w.events, event{at, o, read})
 		return
 	}
 	read()
 }
 
-// hand gives the job to VM 0.
-func (e *entry) hand() {
+// forwardJob sends the job to VM 0.
+func (e *entry) forwardJob() {
 	now := e.w.now
 	e.sent = now
-	e.w.note("the job is submitted to the entry VM")
-	take := func() { e.take(now) }
+	e.w.record("the job is submitted to the entry VM")
+	receive := func() { e.receiveJob(now) }
 	switch e.w.pick(6) {
 	case 0:
-		e.send(0, take)
+		e.send(0, receive)
 	case 1:
-		e.w.note("the job is lost on its way to VM 0")
-		e.lost = true
+		e.w.record("the job is lost on its way to VM 0")
+		e.jobLost = true
 	case 2:
-		e.w.note("the job comes to VM 0 soon")
-		e.send(soon, take)
+		e.w.record("the job reaches VM 0 with a short delay")
+		e.send(shortDelay, receive)
 	case 3:
-		e.w.note("the job comes to VM 0 barely in time")
-		e.send(barely, take)
+		e.w.record("the job reaches VM 0 just in time")
+		e.send(freshDelay, receive)
 	case 4:
-		e.w.note("the job comes to VM 0 late")
-		e.send(late, take)
+		e.w.record("the job reaches VM 0 late")
+		e.send(longDelay, receive)
 	case 5:
-		e.w.note("the job comes to VM 0 too late by a little")
-		e.send(stale, take)
+		e.w.record("the job reaches VM 0 slightly too late")
+		e.send(staleDelay, receive)
 	}
 }
 
-// take takes the job in at VM 0.
-func (e *entry) take(asked time.Time) {
+// receiveJob submits the job to VM 0's owner, or refuses it if it is stale.
+func (e *entry) receiveJob(sent time.Time) {
 	o, now := e.w.vms[0], e.w.now
-	e.read = asked
-	switch e.w.fault {
-	case HandReadNow:
-		asked, e.read = now, now
-	case AnyAge: // the book takes it for fresh, and the leases go by its age
-		asked = now
+	e.lastKeepalive = sent
+	switch e.w.mutation {
+	case JobAgeFromRead:
+		sent, e.lastKeepalive = now, now
+	case StaleKeepaliveStarts: // treated as fresh here, while leases depend on its real age
+		sent = now
 	default:
 	}
-	if now.Sub(asked) > limits.Fresh() {
-		o.tell(job.Answer{Outcome: job.Refused, Reason: job.Silent})
+	if now.Sub(sent) > limits.Fresh() {
+		o.sendAnswer(job.Answer{Outcome: job.Refused, Reason: job.Silent})
 		return
 	}
-	o.book.Submit(now, o.key(), &batch.Job{
-		ID: theJob, Queue: "q", Attempts: 3, Stretch: 1.6, Slack: 2 * time.Second, Left: longLeft, Asked: asked,
+	o.owner.Submit(now, o.key(), &batch.Job{
+		ID: theJob, Queue: "q", Attempts: 3, Stretch: 1.6, Slack: 2 * time.Second, Left: longDeadline, Asked: sent,
 		Steps: []batch.Step{{Count: 1, Need: job.Size{Cores: 60}, Run: longWork}},
 	})
 }
 
-// keep says that the job is waited for.
-func (e *entry) keep() {
+// sendKeepalive tells VM 0 that the caller still waits for the job.
+func (e *entry) sendKeepalive() {
 	now, delay, n := e.w.now, time.Duration(0), 0
-	if e.due() <= words && e.slow.IsZero() && !e.cut {
+	if e.dueKeepalive() <= faultyKeepalives && e.slowSince.IsZero() && !e.cut {
 		n = e.w.pick(6)
 	}
 	switch n {
 	case 1:
-		e.w.note("a word is lost")
+		e.w.record("a keepalive is lost")
 		return
 	case 2:
-		e.w.note("a word comes soon")
-		delay = soon
+		e.w.record("a keepalive arrives with a short delay")
+		delay = shortDelay
 	case 3:
-		e.w.note("a word comes late")
-		delay = late
+		e.w.record("a keepalive arrives late")
+		delay = longDelay
 	case 4:
-		e.w.note("the entry VM's link turns slow")
-		e.slow = now.Add(-tell)
+		e.w.record("the entry VM's link becomes slow")
+		e.slowSince = now.Add(-keepaliveInterval)
 	case 5:
-		e.w.note("the entry VM's link is cut")
+		e.w.record("the entry VM's link is cut")
 		e.cut = true
 	}
 	e.send(delay, func() {
-		o, asked := e.w.vms[0], now
-		if e.w.fault == WordReadNow {
-			asked = e.w.now
+		o, sent := e.w.vms[0], now
+		if e.w.mutation == KeepaliveAgeFromRead {
+			sent = e.w.now
 		}
-		e.read = timer.Later(e.read, asked)
-		o.book.Keepalive(e.w.now, o.key(), asked)
+		e.lastKeepalive = timer.Later(e.lastKeepalive, sent)
+		o.owner.Keepalive(e.w.now, o.key(), sent)
 	})
 }
 
-// stumble lets the entry VM die, or answer its caller before the owner did.
-func (e *entry) stumble() {
+// fail lets the entry VM die, or answer its caller before the owner has answered.
+func (e *entry) fail() {
 	switch e.w.pick(3) {
 	case 1:
-		e.w.note("the entry VM dies")
-		e.leave(again)
+		e.w.record("the entry VM dies")
+		e.stopWaiting(resubmitAfter)
 	case 2:
 		e.giveUp("its caller left")
 	}
 }
 
-// giveUp answers that the outcome is unknown, and tells VM 0 that the job is not wanted.
+// giveUp answers that the outcome is unknown, and cancels the job at VM 0.
 func (e *entry) giveUp(why string) {
-	e.w.note("the entry VM answers unknown: %s", why)
-	e.leave(again)
-	drop := func() {
+	e.w.record("the entry VM answers unknown: %s", why)
+	e.stopWaiting(resubmitAfter)
+	cancel := func() {
 		o := e.w.vms[0]
-		o.book.Cancel(e.w.now, o.key(), why)
+		o.owner.Cancel(e.w.now, o.key(), why)
 	}
 	switch e.w.pick(3) {
 	case 0:
-		e.send(0, drop)
+		e.send(0, cancel)
 	case 1:
-		e.w.note("VM 0 is not told")
+		e.w.record("the cancellation to VM 0 is lost")
 	case 2:
-		e.w.note("VM 0 is told late")
-		e.send(late, drop)
+		e.w.record("the cancellation reaches VM 0 late")
+		e.send(longDelay, cancel)
 	}
 }
 
-// leave ends the wait for VM 0; the caller submits the job again after a time.
-func (e *entry) leave(after time.Duration) {
-	e.ended, e.again = true, e.w.now.Add(after)
+// stopWaiting ends the wait for VM 0. The caller submits the job again after the given time.
+func (e *entry) stopWaiting(after time.Duration) {
+	e.ended, e.resubmitAt = true, e.w.now.Add(after)
 }
 
-// hear takes in VM 0's answer.
-func (e *entry) hear(a job.Answer) {
+// receiveAnswer handles VM 0's answer.
+func (e *entry) receiveAnswer(a job.Answer) {
 	if e.ended {
 		return
 	}
 	if e.w.pick(2) == 1 {
-		e.w.note("the entry VM does not hear it")
+		e.w.record("the answer to the entry VM is lost")
 		return
 	}
 	switch a.Outcome {
 	case job.Done:
 		e.ended, e.w.done = true, true
-	case job.Refused: // nothing began: another owner may run it at once
-		e.leave(0)
+	case job.Refused: // nothing has started: another owner may run it at once
+		e.stopWaiting(0)
 	default:
-		e.leave(again)
+		e.stopWaiting(resubmitAfter)
 	}
 }
 
-// occupy has a VM run a job of its own.
-func (v *vm) occupy() {
-	v.asked = true
-	v.book.Submit(v.w.now, v.ownKey(), &batch.Job{
+// submitOwn submits a second job, whose caller is at the VM itself.
+func (v *vm) submitOwn() {
+	v.submitted = true
+	v.owner.Submit(v.w.now, v.ownKey(), &batch.Job{
 		ID: "k", Queue: "k", Attempts: 3, Stretch: 1.6, Slack: 2 * time.Second, Left: 2 * longHorizon,
 		Steps: []batch.Step{{Count: 1, Need: job.Size{Cores: 4}, Run: longHorizon}},
 	})
 	v.perform()
 }
 
-// ownKey is that of a job of a VM's own.
+// ownKey returns the key of the job that submitOwn submits.
 func (v *vm) ownKey() owner.Key {
 	k := v.key()
 	k.Call = 2
 	return k
 }
 
-// keepOwn asks for the jobs whose callers are at the VM itself, and also for one whose caller has left unnoticed.
-func (v *vm) keepOwn() {
-	v.book.Keepalive(v.w.now, v.ownKey(), v.w.now)
+// keepOwnAlive renews the jobs whose callers are at the VM itself, even if a caller has left unnoticed.
+func (v *vm) keepOwnAlive() {
+	v.owner.Keepalive(v.w.now, v.ownKey(), v.w.now)
 	if v.n == 1 || v.w.entry == nil {
-		v.book.Keepalive(v.w.now, v.key(), v.w.now)
+		v.owner.Keepalive(v.w.now, v.key(), v.w.now)
 	}
 }
 
-// lease is the lease to ask for.
-func (v *vm) lease(ep *lease.Endpoint) int64 {
-	switch v.w.fault {
-	case LeaseAnyway:
+// leaseUntil returns the end of the lease to request.
+func (v *vm) leaseUntil(ep *lease.Endpoint) int64 {
+	switch v.w.mutation {
+	case LeaseIgnoresKeepalive:
 		jobs := map[*lease.Run]lease.Job{}
 		for _, r := range ep.Runs {
 			jobs[r], r.Job = r.Job, nil
@@ -285,29 +285,29 @@
 			r.Job = j
 		}
 		return until
-	case AnyAge:
-		return min(ep.Until(v.w.now), v.within(ep))
+	case StaleKeepaliveStarts:
+		return min(ep.Until(v.w.now), v.strictLease(ep))
 	default:
 		return ep.Until(v.w.now)
 	}
 }
 
-// within is the lease that the right limits allow.
-func (v *vm) within(ep *lease.Endpoint) int64 {
+// strictLease returns the end of the lease that the unmutated rules allow.
+func (v *vm) strictLease(ep *lease.Endpoint) int64 {
 	x := lease.New(ep.Info, ep.Fence, limits)
-	x.Take(v.w.now, v.w.now, lease.Report{Clock: v.at(ep).clock()})
+	x.Take(v.w.now, v.w.now, lease.Report{Clock: v.endpointOf(ep).clock()})
 	for n, r := range ep.Runs {
 		c := &lease.Run{Name: r.Name}
 		if r.Name == theTask && v.n == 0 {
-			c.Job = word{v.w.entry.read}
+			c.Job = keptAlive{v.w.entry.lastKeepalive}
 		}
 		x.Runs[n] = c
 	}
 	return x.Until(v.w.now)
 }
 
-// word is a job that was last asked for at a time.
-type word struct{ asked time.Time }
+// keptAlive is a job with the send time of its last keepalive.
+type keptAlive struct{ sent time.Time }
 
 // By implements lease.Job.
-func (w word) By() time.Time { return w.asked.Add(limits.Outlive()) }
+func (k keptAlive) By() time.Time { return k.sent.Add(limits.Outlive()) }
--- a/internal/tool/model/model_test.go
+++ b/internal/tool/model/model_test.go
@@ -8,12 +8,12 @@
 	"github.com/matryer/is"
 )
 
-var faults = flag.Int("faults", 3, "faults of a sequence")
+var faults = flag.Int("faults", 3, "maximum of faults in a sequence")
 
-// Every sequence of up to so many faults: no two runs of the task at the same time, none
-// after it was done, no "not run" of a job that began, none that goes on for nobody; neither
-// with the job's caller at its owner nor at another VM.
-func TestNoSequenceOfFaultsBreaksAPromise(t *testing.T) {
+// Every sequence of up to -faults faults: the task never runs twice at the same time or after
+// it was done, a job that has started is never refused, and no run goes on without a caller.
+// This holds with the job's caller at its owner and at another VM.
+func TestNoFaultSequenceViolatesGuarantee(t *testing.T) {
 	for name, s := range setups {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -26,27 +26,27 @@
 	}
 }
 
-var setups = map[string]Setup{"own": Own, "other": Other}
+var setups = map[string]Setup{"own": CallerAtOwner, "other": CallerAtEntry}
 
-// Each clause is needed: without it a short sequence breaks a promise.
-func TestEachClauseIsNeeded(t *testing.T) {
+// Without any one of these rules a short sequence of faults violates a guarantee.
+func TestEachRuleIsNeeded(t *testing.T) {
 	for name, x := range map[string]struct {
-		fault Fault
-		setup Setup
+		mutation Mutation
+		setup    Setup
 	}{
-		"a refusal after an unanswered start proves nothing":   {RefusalProves, Own},
-		"an unanswered start may have begun":                   {DoubtIsOver, Own},
-		"the next owner's fence is higher":                     {SameFence, Own},
-		"what runs on a silent endpoint goes on":               {SilenceIsEnd, Own},
-		"a job that comes late was asked for when it was sent": {HandReadNow, Other},
-		"a word that comes late is as old as when it was sent": {WordReadNow, Other},
-		"tasks start on a fresh word":                          {AnyAge, Other},
-		"no lease outlasts the word of a run":                  {LeaseAnyway, Other},
+		"a refusal after an unanswered start proves nothing": {RefusalIsProof, CallerAtOwner},
+		"an unanswered start may be running":                 {UnansweredIsLost, CallerAtOwner},
+		"the next owner's fence is higher":                   {SameFence, CallerAtOwner},
+		"runs on a silent endpoint go on":                    {SilenceEndsRuns, CallerAtOwner},
+		"a late job is as old as when it was sent":           {JobAgeFromRead, CallerAtEntry},
+		"a late keepalive is as old as when it was sent":     {KeepaliveAgeFromRead, CallerAtEntry},
+		"tasks start only after a fresh keepalive":           {StaleKeepaliveStarts, CallerAtEntry},
+		"no lease outlasts the last keepalive of a run":      {LeaseIgnoresKeepalive, CallerAtEntry},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			plays, trace := Explore(3, x.fault, x.setup)
+			plays, trace := Explore(3, x.mutation, x.setup)
 			t.Logf("%d sequences\n%s", plays, strings.Join(trace, "\n"))
 			is.True(trace != nil)
 		})
