--- a/internal/tool/load/load.go
+++ b/internal/tool/load/load.go
@@ -48,7 +48,7 @@
 	P99  float64 `json:"p99"`
 }
 
-// Quant holds quantiles in milliseconds.
+// Quantiles holds response times in milliseconds.
 type Quant struct {
 	P50 float64 `json:"p50"`
 	P99 float64 `json:"p99"`
