--- a/internal/tool/scene/bound.go
+++ b/internal/tool/scene/bound.go
@@ -6,31 +6,32 @@
 	"dahliawinch/internal/base/heap"
 )
 
-// bounded is a job in the queue that knows everything.
-type bounded struct {
-	at    time.Duration
-	key   time.Duration
-	runs  []time.Duration // waiting
-	left  int             // unfinished
-	ideal time.Duration
-	slot  heap.Slot
+// queuedJob is a job in the queue of OracleRatios.
+type queuedJob struct {
+	at         time.Duration   // arrival
+	key        time.Duration   // rank: the lowest starts first
+	runs       []time.Duration // of tasks not started yet
+	unfinished int             // number of tasks
+	ideal      time.Duration
+	slot       heap.Slot
 }
 
+// finish is the end of a running task.
 type finish struct {
 	at   time.Duration
-	job  *bounded
+	job  *queuedJob
 	slot heap.Slot
 }
 
-// overhead is the part of the ideal that is not run time.
-const overhead = 2*client + 2*within
+// overhead is the part of the ideal response that is network delay.
+const overhead = 2*clientDelay + 2*innerDelay
 
-// Bound plays a trace against one queue over all slots, with no network between
-// queue and slots, no failures and true run times known at arrival: jobs are
-// ranked like in package queue, but by their real work. It returns the ratio of
-// each job that arrived after warm.
-func Bound(trace []Arrival, slots int, stretch float64, warm time.Duration) (ratios []float64) {
-	waiting := heap.New(func(a, b *bounded) bool { return a.key < b.key }, func(j *bounded) *heap.Slot { return &j.slot })
+// OracleRatios simulates a trace on one queue for all slots, with no network
+// between queue and slots, no failures and run times known at arrival. Jobs are
+// ranked as in package queue, but by their actual work. It returns the ratio of
+// response to ideal of each job that arrived after warm.
+func OracleRatios(trace []Arrival, slots int, stretch float64, warm time.Duration) (ratios []float64) {
+	waiting := heap.New(func(a, b *queuedJob) bool { return a.key < b.key }, func(j *queuedJob) *heap.Slot { return &j.slot })
 	busy := heap.New(func(a, b *finish) bool { return a.at < b.at }, func(f *finish) *heap.Slot { return &f.slot })
 	free := slots
 	start := func(now time.Duration) {
@@ -48,8 +49,8 @@
 	}
 	end := func(f *finish) {
 		free++
-		f.job.left--
-		if f.job.left == 0 && f.job.at >= warm {
+		f.job.unfinished--
+		if f.job.unfinished == 0 && f.job.at >= warm {
 			ratios = append(ratios, (f.at-f.job.at+overhead).Seconds()/f.job.ideal.Seconds())
 		}
 	}
@@ -62,7 +63,7 @@
 	}
 	for _, a := range trace {
 		drainTo(a.At)
-		j := &bounded{at: a.At, left: len(a.Job.Runs), ideal: Ideal(a.Job), runs: append([]time.Duration{}, a.Job.Runs...)}
+		j := &queuedJob{at: a.At, unfinished: len(a.Job.Runs), ideal: Ideal(a.Job), runs: append([]time.Duration{}, a.Job.Runs...)}
 		var work time.Duration
 		for _, r := range a.Job.Runs {
 			work += r
--- a/internal/tool/scene/burst_test.go
+++ b/internal/tool/scene/burst_test.go
@@ -11,14 +11,13 @@
 	"dahliawinch/internal/task/job"
 )
 
-// Symptom: call setups wait behind proof pages. Sequence: three times the load
-// that the slots can carry arrives for ten seconds. Cause: one queue for all, and
-// no slot is kept.
-func TestBurstLeavesUrgentWorkAlone(t *testing.T) {
+// Guards against urgent jobs that wait behind routine ones while three times the usual
+// load arrives for ten seconds, as with one queue for all and no slots reserved.
+func TestBurstDoesNotDelayUrgentJobs(t *testing.T) {
 	t.Parallel()
-	base := play(t, unloaded())
-	set := Brief(0.7)
-	set.Mix = uniform()
+	base := play(t, lightLoad())
+	set := DefaultSetup(0.7)
+	set.Mix = boundedMix()
 	set.Span = 40 * time.Second
 	set.Rate = func(at time.Duration) float64 {
 		if at >= 10*time.Second && at < 20*time.Second {
@@ -29,23 +28,22 @@
 	s := play(t, set)
 	calm, burst := p99(base.Results(), "setup"), p99(s.Results(), "setup")
 	v := s.Judge.Verdict()
-	t.Logf("urgent p99 %s calm, %s in the burst; %.3f of the slot time in time; %+v", calm, burst, inTime(s), v)
+	t.Logf("urgent p99 %s at light load, %s in the burst; %.3f of the slot time useful; %+v", calm, burst, usefulShare(s), v)
 	if burst > calm*12/10 {
 		t.Errorf("urgent p99 %s, unloaded %s", burst, calm)
 	}
-	if got := inTime(s); got < 0.95 {
-		t.Errorf("%.3f of the slot time went to work answered in time", got)
+	if got := usefulShare(s); got < 0.95 {
+		t.Errorf("only %.3f of the slot time went to jobs that were done", got)
 	}
 }
 
-// Symptom: a call setup waits five seconds. Sequence: routine tasks of five
-// seconds hold every slot that they may. Cause: tasks can't be preempted, and no
-// slot was kept.
-func TestLongRoutineTasksLeaveRoomForUrgentWork(t *testing.T) {
+// Guards against urgent jobs that wait five seconds while routine tasks of five seconds
+// hold every slot that they may: tasks can't be preempted, so slots must be reserved.
+func TestLongRoutineTasksDoNotDelayUrgentJobs(t *testing.T) {
 	t.Parallel()
-	base := play(t, unloaded())
-	set := Brief(0.95)
-	set.Mix = uniform()
+	base := play(t, lightLoad())
+	set := DefaultSetup(0.95)
+	set.Mix = boundedMix()
 	set.Mix.Kinds = set.Mix.Kinds[:2]
 	set.Mix.Kinds[0].Share = 0.6
 	set.Mix.Kinds[1].Run, set.Mix.Kinds[1].Sigma, set.Mix.Kinds[1].Tail = valid.Span(5*time.Second), 0, 0
@@ -53,18 +51,18 @@
 	set.Load = 2
 	s := play(t, set)
 	calm, full := p99(base.Results(), "setup"), p99(s.Results(), "setup")
-	t.Logf("urgent p99 %s calm, %s with every slot held; %+v", calm, full, s.Judge.Verdict())
+	t.Logf("urgent p99 %s at light load, %s with long routine tasks; %+v", calm, full, s.Judge.Verdict())
 	if full > calm*12/10 {
 		t.Errorf("urgent p99 %s, unloaded %s", full, calm)
 	}
 }
 
-// Symptom: live work stands still. Sequence: ten thousand callers cancel within a
-// second. Cause: each cancellation costs a walk through the queue.
-func TestWaveOfCancellations(t *testing.T) {
+// Guards against other jobs that stall when ten thousand callers cancel within a second,
+// as when each cancellation scans the queue.
+func TestMassCancellationStallsNoOtherJob(t *testing.T) {
 	t.Parallel()
 	const wave = 10_000
-	set := Brief(0.6)
+	set := DefaultSetup(0.6)
 	set.Faults = []Fault{{8 * time.Second, func(s *Scene) {
 		ctx, cancel := context.WithCancel(s.ctx)
 		defer cancel()
--- a/internal/tool/scene/caller.go
+++ b/internal/tool/scene/caller.go
@@ -12,32 +12,32 @@
 	"dahliawinch/internal/tool/mix"
 )
 
-// Result is one job as its caller saw it.
+// Result is a job's outcome as its caller saw it.
 type Result struct {
 	Job    *mix.Job
 	At     time.Duration // since the start
-	Took   time.Duration
-	Ideal  time.Duration
+	Took   time.Duration // response time
+	Ideal  time.Duration // response time, see func Ideal
 	Answer *job.Answer
-	Domain string
+	Domain string // of the VM that the caller reached
 }
 
-// Ratio is response over ideal.
+// Ratio returns the response time over the ideal one.
 func (r Result) Ratio() float64 { return r.Took.Seconds() / r.Ideal.Seconds() }
 
-// Arrival is one job of the trace, for the bound that knows everything.
+// Arrival is one job of the trace, an input of OracleRatios.
 type Arrival struct {
 	At  time.Duration
 	Job *mix.Job
 }
 
-// balance picks the VM that a caller reaches.
-func (s *Scene) balance(x uint64) *VM {
+// pickVM returns the VM to which the load balancer sends a caller; x is random.
+func (s *Scene) pickVM(x uint64) *VM {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var open []*VM
 	for _, v := range s.vms {
-		if !v.closed.Load() {
+		if !v.unrouted.Load() {
 			open = append(open, v)
 		}
 	}
@@ -47,8 +47,8 @@
 	return open[x%uint64(len(open))]
 }
 
-// load plays the arrivals, open loop.
-func (s *Scene) load() {
+// runLoad submits jobs in an open loop: arrivals don't wait for answers.
+func (s *Scene) runLoad() {
 	slots := float64(s.Endpoints * s.Slots)
 	perSecond := s.Load * slots / s.Mix.Work().Seconds()
 	var callers sync.WaitGroup
@@ -61,10 +61,10 @@
 		if s.Rate != nil {
 			rate *= s.Rate(at)
 		}
-		time.Sleep(mix.Gap(s.r, rate))
-		j := s.Mix.Draw(s.r, fmt.Sprint("job-", s.serial.Add(1)))
+		time.Sleep(mix.Gap(s.rng, rate))
+		j := s.Mix.Draw(s.rng, fmt.Sprint("job-", s.serial.Add(1)))
 		s.trace = append(s.trace, Arrival{time.Since(s.began), j})
-		pick := s.r.Uint64()
+		pick := s.rng.Uint64()
 		callers.Go(func() { s.Call(s.ctx, j, pick) })
 	}
 	if perSecond == 0 {
@@ -82,27 +82,27 @@
 	s.starts[tenant] = append(s.starts[tenant], time.Since(s.began))
 }
 
-// Call submits one job as a caller does and notes what it was told.
+// Call submits one job as a caller does and records the answer.
 func (s *Scene) Call(ctx context.Context, j *mix.Job, pick uint64) *job.Answer {
 	began := time.Now()
 	s.Judge.Submit(j.Name, len(j.Req.Tasks))
 	s.mu.Lock()
 	s.tenants[j.Name] = j.Req.Tenant
 	s.mu.Unlock()
-	time.Sleep(client)
-	v := s.balance(pick)
-	for v.dead.Load() { // refused connection: nothing was sent, the next VM is tried
-		time.Sleep(client)
+	time.Sleep(clientDelay)
+	v := s.pickVM(pick)
+	for v.dead.Load() { // connection refused: nothing was sent, so the caller tries another VM
+		time.Sleep(clientDelay)
 		pick++
-		v = s.balance(pick)
+		v = s.pickVM(pick)
 	}
 	var a *job.Answer
 	if j.Kind.Ticket {
-		a = s.ticketed(ctx, v, j, pick)
+		a = s.submitTwice(ctx, v, j, pick)
 	} else {
 		a = s.submit(ctx, v, j)
 	}
-	time.Sleep(client)
+	time.Sleep(clientDelay)
 	s.Judge.Answer(j.Name, a)
 	r := Result{
 		Job: j, At: began.Sub(s.began), Took: time.Since(began), Ideal: Ideal(j), Answer: a, Domain: v.Domain,
@@ -113,12 +113,13 @@
 	return a
 }
 
-// Ideal is the response if every task started at once in the caller's domain.
-func Ideal(j *mix.Job) time.Duration { return 2*client + 2*within + j.Longest() }
+// Ideal returns the response time if every task started at once in the domain of the
+// VM that the caller reached.
+func Ideal(j *mix.Job) time.Duration { return 2*clientDelay + 2*innerDelay + j.Longest() }
 
-// ticketed takes a ticket and sends the job under it as an anxious caller does: to
-// two VMs at once, and again while the outcome is unknown.
-func (s *Scene) ticketed(ctx context.Context, v *VM, j *mix.Job, pick uint64) *job.Answer {
+// submitTwice gets a ticket and submits the job with it as an impatient caller does:
+// to two VMs at once, and up to three times more while the outcome is unknown.
+func (s *Scene) submitTwice(ctx context.Context, v *VM, j *mix.Job, pick uint64) *job.Answer {
 	text, err := v.Node.Grant(j.Req.Tenant, 1)
 	if err != nil {
 		return job.Refuse(job.Overload, 0, "%v", err)
@@ -128,15 +129,15 @@
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
-		if w := s.balance(pick / 7); !w.dead.Load() {
+		if w := s.pickVM(pick / 7); !w.dead.Load() {
 			s.Judge.Answer(j.Name, s.submit(ctx, w, j))
 		}
 	}()
 	a := s.submit(ctx, v, j)
 	for try := uint64(1); a.Outcome == job.Unknown && try <= 3; try++ {
 		s.Judge.Answer(j.Name, a)
-		time.Sleep(client + 200*time.Millisecond)
-		if w := s.balance(pick/11 + try); !w.dead.Load() {
+		time.Sleep(clientDelay + 200*time.Millisecond)
+		if w := s.pickVM(pick/11 + try); !w.dead.Load() {
 			a = s.submit(ctx, w, j)
 		}
 	}
@@ -152,18 +153,18 @@
 	s.wg.Add(1)
 	go func() {
 		defer s.wg.Done()
-		v.clock.Now() // a paused VM takes it in later
+		v.clock.Now() // a paused VM handles the request when it resumes
 		out <- v.Node.Submit(ctx, &req)
 	}()
 	select {
 	case a := <-out:
 		return a
-	case <-v.gone:
+	case <-v.killed:
 		return job.Doubt(job.Silent, "the VM died")
 	}
 }
 
-// Results are the jobs that arrived in the measured span.
+// Results returns the results of jobs that arrived in the measured span.
 func (s *Scene) Results() []Result {
 	var in []Result
 	for _, r := range s.results {
@@ -174,10 +175,10 @@
 	return in
 }
 
-// Trace is every arrival.
+// Trace returns all arrivals, those of the warm-up included.
 func (s *Scene) Trace() []Arrival { return s.trace }
 
-// counts are sums over all VMs.
+// counts holds sums over all VMs.
 type counts struct {
 	starts int64
 	wasted map[meter.Cause]int64
@@ -196,8 +197,8 @@
 	return c
 }
 
-// Wasted is the number of wasted messages of a cause in the measured span.
-func (s *Scene) Wasted(c meter.Cause) int64 { return s.marks[1].wasted[c] - s.marks[0].wasted[c] }
+// Wasted returns the number of wasted messages of a cause in the measured span.
+func (s *Scene) Wasted(c meter.Cause) int64 { return s.totals[1].wasted[c] - s.totals[0].wasted[c] }
 
-// Starts is the number of attempts in the measured span.
-func (s *Scene) Starts() int64 { return s.marks[1].starts - s.marks[0].starts }
+// Starts returns the number of task starts in the measured span, retries included.
+func (s *Scene) Starts() int64 { return s.totals[1].starts - s.totals[0].starts }
--- a/internal/tool/scene/declare_test.go
+++ b/internal/tool/scene/declare_test.go
@@ -13,14 +13,15 @@
 	"dahliawinch/internal/plat/fakes"
 )
 
-// idle is a deployment without callers.
-func idle(span time.Duration) Setup {
-	set := Brief(0)
+// idleSetup returns a deployment without callers.
+func idleSetup(span time.Duration) Setup {
+	set := DefaultSetup(0)
 	set.Warm, set.Span = 0, span
 	return set
 }
 
-// setWeight is a change of the document that says which one it is.
+// setWeight returns a change that sets a tenant's weight; distinct weights tell changes
+// apart.
 func setWeight(w float64) func(*doc.Document) {
 	return func(d *doc.Document) {
 		t := d.Tenants["crew"]
@@ -29,7 +30,7 @@
 	}
 }
 
-// within waits until a VM has a revision and returns how long that took.
+// awaitRev waits until a VM has a revision and returns the time since began.
 func awaitRev(v *VM, rev uint64, began time.Time) time.Duration {
 	for v.Rev() < rev {
 		time.Sleep(time.Millisecond)
@@ -37,13 +38,13 @@
 	return time.Since(began)
 }
 
-// Symptom: a change is in force on some VMs only. Sequence: it is accepted while one
-// failure domain can't reach the log. Cause: only the log is asked for news.
+// Guards against a change that reaches only some VMs: it is accepted while one failure
+// domain can't reach the log, and VMs learn of changes only from the log.
 func TestChangeIsInForceEverywhereWithinSeconds(t *testing.T) {
 	t.Parallel()
 	const changes = 60
 	var near, cut []time.Duration
-	set := idle(3 * time.Minute)
+	set := idleSetup(3 * time.Minute)
 	set.Faults = []Fault{{time.Second, func(s *Scene) {
 		for n := range changes {
 			s.CutLog(3, n%2 == 1)
@@ -67,7 +68,7 @@
 	slices.Sort(near)
 	slices.Sort(cut)
 	p99, worst := near[len(near)*99/100], cut[len(cut)-1]
-	t.Logf("in force everywhere: p99 %s; cut off from the log: worst %s", p99, worst)
+	t.Logf("time until in force: p99 %s; on VMs cut off from the log: worst %s", p99, worst)
 	if p99 > time.Second {
 		t.Errorf("p99 %s", p99)
 	}
@@ -76,24 +77,24 @@
 	}
 }
 
-// phase spreads events over the periods of heartbeats.
+// phase returns a delay that spreads events over the heartbeat period.
 func (s *Scene) phase(n int) time.Duration { return time.Duration(n*37%100) * time.Millisecond }
 
-// Symptom: two operators are both told that their change is in force. Sequence: two
-// hundred declare on one base at once, through all VMs, with lost answers. Cause:
-// acceptance is judged by arrival rather than by the log's order.
-func TestRaceOfOperatorsHasOneWinner(t *testing.T) {
+// Guards against two operators who are both told that their change is in force: 200
+// declare on one base at once, through all VMs, and a fifth of the log's answers are
+// lost. Acceptance must follow the log's order rather than the order of arrival.
+func TestConcurrentDeclarationsHaveOneWinner(t *testing.T) {
 	t.Parallel()
 	const operators = 200
-	set := idle(2 * time.Minute)
+	set := idleSetup(2 * time.Minute)
 	set.LogRules.Lose = 0.2
-	type told struct {
+	type reply struct {
 		who string
 		v   fold.Verdict
 		err error
 	}
 	var mu sync.Mutex
-	var all []told
+	var all []reply
 	set.Faults = []Fault{{time.Second, func(s *Scene) {
 		var wg sync.WaitGroup
 		for n := range operators {
@@ -104,7 +105,7 @@
 				v, err := s.Declare(ctx, s.VM(n%s.VMs), who, setWeight(float64(n+1)))
 				mu.Lock()
 				defer mu.Unlock()
-				all = append(all, told{who, v, err})
+				all = append(all, reply{who, v, err})
 			})
 		}
 		wg.Wait()
@@ -132,13 +133,12 @@
 	}
 }
 
-// Symptom: after an outage of the log the service runs with an old document, or with
-// none. Sequence: the log is down for half an hour, its records expire meanwhile, all
-// VMs are replaced one after another, one of them at a time is left to tell. Cause:
-// what is in force is only in the log.
-func TestLogOutageAndRetentionLoseNothing(t *testing.T) {
+// Guards against a service that has an old document, or none, after an outage of the log.
+// The log is down for half an hour, its records expire, and all VMs are killed and booted
+// again one by one, so only the other VMs still have the document.
+func TestLogOutageLosesNoDocument(t *testing.T) {
 	t.Parallel()
-	set := idle(70 * time.Minute)
+	set := idleSetup(70 * time.Minute)
 	set.Retention = 10 * time.Minute
 	set.LogRules = fakes.LogRules{Rate: 400, Synced: 5 * time.Millisecond, Keep: 10 * time.Minute, Lose: 0.2}
 	var rev uint64
@@ -180,12 +180,13 @@
 	}
 }
 
-// A refresh costs an append; the log takes several hundred a second for everybody.
+// Guards against too many refreshes: each costs an append, and the log accepts only
+// several hundred appends a second from all services together.
 func TestRefreshesAreFew(t *testing.T) {
 	t.Parallel()
 	const services, terms, hour = 490, 8, 3600.0
-	set := idle(terms * 4 * time.Minute)
-	set.Retention, set.LogRules.Keep = 4*time.Minute, 4*time.Minute // an hour, scaled down
+	set := idleSetup(terms * 4 * time.Minute)
+	set.Retention, set.LogRules.Keep = 4*time.Minute, 4*time.Minute // stands for an hour, to run faster
 	s := play(t, set)
 	perService := float64(s.Stream.Appends()-1) / terms / hour
 	t.Logf("%.5f refreshes a second for one service with 8 VMs and an hour's retention, %.3f for %d", perService, services*perService, services)
@@ -197,11 +198,11 @@
 	}
 }
 
-// Symptom: a VM serves without knowing who may. Sequence: it starts while the log is
-// down and no peer is there. Cause: it takes nothing for "no rules".
-func TestVMThatKnowsNothingRefuses(t *testing.T) {
+// Guards against a VM that serves callers without knowing the tenants: it boots while
+// the log is down and no peer is alive, and mistakes "no document" for "no rules".
+func TestVMWithoutDocumentRefuses(t *testing.T) {
 	t.Parallel()
-	set := idle(30 * time.Second)
+	set := idleSetup(30 * time.Second)
 	var refused string
 	set.Faults = []Fault{{time.Second, func(s *Scene) {
 		s.Stream.Set(func(r *fakes.LogRules) { r.Down = true })
--- a/internal/tool/scene/fault.go
+++ b/internal/tool/scene/fault.go
@@ -11,7 +11,7 @@
 	"dahliawinch/internal/conf/keeper"
 )
 
-// Declare puts a changed document forward through a VM, on the base that it has.
+// Declare declares a changed document through a VM, based on the VM's current revision.
 func (s *Scene) Declare(ctx context.Context, v *VM, author string, change func(*doc.Document)) (fold.Verdict, error) {
 	r, ok := v.Keeper.Current()
 	if !ok {
@@ -29,54 +29,54 @@
 	return v.Keeper.Declare(ctx, r.Rev, text, author, "")
 }
 
-// Kill ends a VM at once; the balancer notices a second later.
+// Kill ends a VM at once; the load balancer notices a second later.
 func (s *Scene) Kill(v *VM) {
 	v.dead.Store(true)
-	close(v.gone)
+	close(v.killed)
 	v.cancel()
 	time.Sleep(time.Second)
-	v.closed.Store(true)
+	v.unrouted.Store(true)
 }
 
-// Late makes a VM's messages to other VMs come so much later.
-func (s *Scene) Late(v *VM, by time.Duration) { v.late.Store(int64(by)) }
+// DelayMessages adds a delay to a VM's messages to other VMs.
+func (s *Scene) DelayMessages(v *VM, by time.Duration) { v.delay.Store(int64(by)) }
 
-// Replace lets a VM leave gracefully and boots a new one at its address; the
-// balancer notices each a second later.
+// Replace drains a VM and boots a new one at its address; the load balancer notices
+// each a second later.
 func (s *Scene) Replace(v *VM) error {
 	go func() {
 		time.Sleep(time.Second)
-		v.closed.Store(true)
+		v.unrouted.Store(true)
 	}()
 	if err := v.Node.Drain(s.ctx); err != nil {
 		return fmt.Errorf("replace %s: %w", v.Mesh, err)
 	}
-	time.Sleep(lingers)
+	time.Sleep(linger)
 	if err := v.Node.Drain(s.ctx); err != nil {
 		return fmt.Errorf("replace %s: %w", v.Mesh, err)
 	}
 	v.dead.Store(true)
 	v.cancel()
 	w := s.Boot(v.Mesh, v.Domain)
-	w.closed.Store(true)
+	w.unrouted.Store(true)
 	time.Sleep(time.Second)
-	w.closed.Store(false)
+	w.unrouted.Store(false)
 	return nil
 }
 
-// lingers is how long a leaving VM still takes callers, as entry daemons do.
-const lingers = 2 * time.Second
+// linger is how long a draining VM still accepts callers, as entry daemons do.
+const linger = 2 * time.Second
 
-// Pause freezes a VM; the balancer notices a second later.
+// Pause freezes a VM; the load balancer notices a second later, and its end at once.
 func (s *Scene) Pause(v *VM, d time.Duration) {
 	v.clock.pause(d)
 	time.Sleep(time.Second)
-	v.closed.Store(true)
+	v.unrouted.Store(true)
 	time.Sleep(d - time.Second)
-	v.closed.Store(false)
+	v.unrouted.Store(false)
 }
 
-// Cut separates two failure domains, or heals them.
+// Cut partitions two failure domains from each other (on), or reconnects them.
 func (s *Scene) Cut(a, b int, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,26 +85,26 @@
 	s.cuts[[2]string{y, x}] = on
 }
 
-// CutOneWay lets nothing pass from one failure domain to another, while the other way
-// works.
+// CutOneWay drops everything from one failure domain to another (on); the opposite
+// direction works.
 func (s *Scene) CutOneWay(from, to int, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cuts[[2]string{domainName(from), domainName(to)}] = on
 }
 
-// CutLog separates a failure domain from the platform's log, or heals it.
+// CutLog disconnects a failure domain from the platform's log (on), or reconnects it.
 func (s *Scene) CutLog(a int, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.logless[domainName(a)] = on
+	s.logCuts[domainName(a)] = on
 }
 
-func (s *Scene) cut(a, b string) bool {
+func (s *Scene) isCut(a, b string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.cuts[[2]string{a, b}]
 }
 
-// rand is a source of its own for a fault, which plays beside the load.
+// rand returns a random source for a fault; sharing the load's would race with it.
 func (s *Scene) rand() *rand.Rand { return rand.New(rand.NewPCG(s.Seed, s.serial.Add(1))) }
--- a/internal/tool/scene/fault_test.go
+++ b/internal/tool/scene/fault_test.go
@@ -12,7 +12,7 @@
 	"dahliawinch/internal/tool/mix"
 )
 
-// p99 of the response over all done jobs of a class.
+// p99 returns the 99th percentile of the response time of a class's done jobs.
 func p99(rs []Result, class string) time.Duration {
 	var all []time.Duration
 	for _, r := range rs {
@@ -27,7 +27,7 @@
 	return all[min(len(all)-1, int(math.Ceil(0.99*float64(len(all))))-1)]
 }
 
-// lost counts jobs that ended as failed or unknown.
+// lost counts jobs with the outcome failed or unknown.
 func lost(rs []Result) (n int) {
 	for _, r := range rs {
 		if o := r.Answer.Outcome; o == job.Failed || o == job.Unknown {
@@ -37,8 +37,8 @@
 	return n
 }
 
-// inTime is the part of the slot time that went into jobs that were done.
-func inTime(s *Scene) float64 {
+// usefulShare returns the part of the used slot time that went to jobs that were done.
+func usefulShare(s *Scene) float64 {
 	var useful, spent time.Duration
 	for _, r := range s.results {
 		if r.Answer.Outcome == job.Done {
@@ -53,28 +53,28 @@
 	return useful.Seconds() / spent.Seconds()
 }
 
-// uniform is a mix whose urgent jobs have bounded run times, so that a p99 of
-// some hundred jobs says something.
-func uniform() mix.Mix {
+// boundedMix returns a mix whose urgent jobs have run times without a long tail, so that
+// the p99 of a few hundred jobs is meaningful.
+func boundedMix() mix.Mix {
 	m := mix.Paper()
 	m.Kinds[0].Tail = 0
 	m.Kinds[0].Sigma = 0.2
 	return m
 }
 
-func unloaded() Setup {
-	set := Brief(0.1)
-	set.Mix = uniform()
+func lightLoad() Setup {
+	set := DefaultSetup(0.1)
+	set.Mix = boundedMix()
 	set.Span = 60 * time.Second
 	return set
 }
 
-// Symptom: jobs fail all over although three endpoints of fifty are bad.
-// Sequence: they fail whatever they start, at once, and are free again first.
-// Cause: the least used endpoint is picked without a look at how tasks end there.
-func TestEndpointsThatFailEverything(t *testing.T) {
+// Guards against three bad endpoints of fifty that fail most jobs: they fail every task
+// at once, so they are free first, and a policy that picks the least used endpoint
+// without counting failures sends them more and more tasks.
+func TestFailingEndpointsLoseFewJobs(t *testing.T) {
 	t.Parallel()
-	set := Brief(0.7)
+	set := DefaultSetup(0.7)
 	set.Span = 60 * time.Second
 	set.Faults = []Fault{{10 * time.Second, func(s *Scene) {
 		for _, n := range []int{0, 17, 34} {
@@ -83,17 +83,17 @@
 	}}}
 	s := play(t, set)
 	n := lost(s.results)
-	t.Logf("%d jobs lost to 3 endpoints; %+v", n, s.Judge.Verdict())
+	t.Logf("%d jobs lost on 3 bad endpoints; %+v", n, s.Judge.Verdict())
 	if n > 3*8 {
 		t.Errorf("%d jobs lost", n)
 	}
 }
 
-// Symptom: good endpoints get no work. Sequence: every task of one tenant fails,
-// wherever it runs. Cause: its failures are put down to the endpoints.
-func TestOneTenantsFailuresEjectNobody(t *testing.T) {
+// Guards against good endpoints that are ejected because every task of one tenant fails,
+// wherever it runs.
+func TestTenantFailuresEjectNoEndpoint(t *testing.T) {
 	t.Parallel()
-	set := Brief(0.7)
+	set := DefaultSetup(0.7)
 	set.Mix.Kinds[2].Fail = 1
 	worst := 0
 	for at := 6 * time.Second; at < 25*time.Second; at += time.Second {
@@ -119,14 +119,13 @@
 	}
 }
 
-// Symptom: an endpoint that is being replaced still gets work. Sequence: it
-// leaves, the platform's list shows it half a minute later. Cause: only the list
-// is believed.
+// Guards against tasks on an endpoint that is being replaced: the platform's list shows
+// that it leaves only half a minute later, so its own answers must count too.
 func TestLeavingEndpointGetsNoNewWork(t *testing.T) {
 	for _, load := range []float64{0.05, 0.7} {
 		t.Run(fmt.Sprint(load), func(t *testing.T) {
 			t.Parallel()
-			set := Brief(load)
+			set := DefaultSetup(load)
 			set.Lag = 30 * time.Second
 			var left time.Time
 			set.Faults = []Fault{{10 * time.Second, func(s *Scene) {
@@ -142,27 +141,27 @@
 				}
 			}
 			if n := lost(s.results); n > 0 {
-				t.Errorf("%d jobs lost to a graceful leaving", n)
+				t.Errorf("%d jobs lost although the endpoints left gracefully", n)
 			}
 		})
 	}
 }
 
-// faultCase is a fault after which only the promises count, and that everything
-// else goes on.
+// faultCase is a fault under which all guarantees must hold and most jobs must still be
+// done.
 type faultCase struct {
-	name  string
-	why   string // symptom, sequence, cause
-	set   func(*Setup)
-	spare float64 // part of the jobs that must be done
+	name    string
+	why     string // the failure that the case guards against
+	apply   func(*Setup)
+	minDone float64 // part of the jobs that must be done
 }
 
 var faultCases = []faultCase{
-	{"endpoint dies", "Symptom: a task runs twice. Sequence: the endpoint dies in the middle. Cause: a task that may have started is tried again.",
+	{"endpoint dies", "A task runs twice: its endpoint dies while it runs, and a task that may have started is retried.",
 		func(set *Setup) {
 			set.Faults = []Fault{{8 * time.Second, func(s *Scene) { s.Endpoint(7).Die() }}}
 		}, 0.97},
-	{"rack dies", "Symptom: jobs fail long after the fault. Sequence: six endpoints die together. Cause: dead endpoints are dialed again and again.",
+	{"rack dies", "Jobs fail long after the fault: six endpoints die together and are dialed again and again.",
 		func(set *Setup) {
 			set.Faults = []Fault{{8 * time.Second, func(s *Scene) {
 				for n := 12; n < 18; n++ {
@@ -170,11 +169,11 @@
 				}
 			}}}
 		}, 0.90},
-	{"vm dies", "Symptom: 'not run' is said of work that the dead VM had started. Sequence: a VM dies with jobs and given tasks in its house. Cause: its silence is read as a refusal.",
+	{"vm dies", "Callers are told 'not run' for tasks that the dead VM had started: it dies with jobs of its own and tasks forwarded to it, and its silence is taken for a refusal.",
 		func(set *Setup) {
 			set.Faults = []Fault{{8 * time.Second, func(s *Scene) { s.Kill(s.VM(3)) }}}
 		}, 0.93},
-	{"vm dies and comes back", "Symptom: results of the old process are taken for the new one's. Sequence: a VM dies and boots again at its address. Cause: incarnations are not told apart.",
+	{"vm dies and comes back", "Results of the old process are taken for the new one's: a VM dies and boots again at its address, and incarnations are not distinguished.",
 		func(set *Setup) {
 			set.Faults = []Fault{{8 * time.Second, func(s *Scene) {
 				v := s.VM(3)
@@ -182,24 +181,24 @@
 				s.Boot(v.Mesh, v.Domain)
 			}}}
 		}, 0.93},
-	{"vm paused", "Symptom: work starts whose caller was told that it failed. Sequence: a VM is paused for 20 s and goes on with what it had decided. Cause: no look at the clock right before the send.",
+	{"vm paused", "A task starts after its caller was told that it failed: a VM is paused for 20 s and then sends it, without checking the clock right before the send.",
 		func(set *Setup) {
 			set.Span = 40 * time.Second
 			set.Faults = []Fault{{8 * time.Second, func(s *Scene) { s.Pause(s.VM(2), 20*time.Second) }}}
 		}, 0.85},
-	{"declarations off by ten", "Symptom: slots idle or jobs late. Sequence: every job declares a tenth, or ten times, of its run time. Cause: declarations are believed.",
+	{"declarations off by ten", "Slots are idle or jobs late: every job declares a tenth of its run time, or ten times as much, and declarations are trusted.",
 		func(set *Setup) {
 			for i := range set.Mix.Kinds {
 				set.Mix.Kinds[i].Told = []float64{0.1, 10}[i%2]
 			}
 		}, 0.99},
-	{"impossible jobs", "Symptom: jobs that can run wait behind one that never can. Sequence: jobs ask for more than any endpoint has. Cause: they are queued.",
+	{"impossible jobs", "Jobs wait behind one that can never run: it needs more than any endpoint has, but is queued.",
 		func(set *Setup) {
 			huge := set.Mix.Kinds[1]
 			huge.Name, huge.Need = "huge", job.Size{Cores: 65}
 			set.Mix.Kinds = append(set.Mix.Kinds, huge)
 		}, 0.60},
-	{"domain cut off", "Symptom: callers of a cut-off domain get nothing. Sequence: one failure domain loses the others for a while, then comes back. Cause: it waits for what is not there.",
+	{"domain cut off", "Callers of an isolated domain get no service: a failure domain is partitioned from the others for a while and waits for VMs and endpoints that it can't reach.",
 		func(set *Setup) {
 			cut := func(on bool) func(*Scene) {
 				return func(s *Scene) {
@@ -210,7 +209,7 @@
 			}
 			set.Faults = []Fault{{8 * time.Second, cut(true)}, {16 * time.Second, cut(false)}}
 		}, 0.90},
-	{"cut one way", "Symptom: work is given again and again to a domain whose answers never come. Sequence: messages pass from the first domain to the others but not back. Cause: sending works, so the peer is taken for well.",
+	{"cut one way", "Tasks are forwarded again and again to a domain whose answers never arrive: messages pass from the first domain to the others but not back, and a peer counts as healthy because sending works.",
 		func(set *Setup) {
 			cut := func(on bool) func(*Scene) {
 				return func(s *Scene) {
@@ -221,7 +220,7 @@
 			}
 			set.Faults = []Fault{{8 * time.Second, cut(true)}, {14 * time.Second, cut(false)}}
 		}, 0.90},
-	{"log down", "Symptom: callers are refused though every VM knows the document. Sequence: the platform's log is down for ten minutes. Cause: it is asked on a request's path.",
+	{"log down", "Callers are refused though every VM has the document: the platform's log is down for ten minutes, and requests depend on it.",
 		func(set *Setup) {
 			set.Load, set.Span = 0.1, 11*time.Minute
 			set.Faults = []Fault{
@@ -229,7 +228,7 @@
 				{608 * time.Second, func(s *Scene) { s.Stream.Set(func(r *fakes.LogRules) { r.Down = false }) }},
 			}
 		}, 1},
-	{"all but one vm die", "Symptom: the VM that is left serves nobody, or says 'not run' of what the dead had started. Sequence: seven of eight VMs die within a second. Cause: it waits for witnesses that are gone, or reads silence as refusal.",
+	{"all but one vm die", "The last VM serves nobody, or tells callers 'not run' for tasks that dead VMs had started: seven of eight VMs die within a second, and it waits for confirmations from them or takes their silence for a refusal.",
 		func(set *Setup) {
 			set.Load = 0.1
 			set.Span = 40 * time.Second
@@ -239,7 +238,7 @@
 				}
 			}}}
 		}, 0.90},
-	{"platform and endpoints at once", "Symptom: two faults together break what each alone doesn't. Sequence: the log goes, a rack dies, a VM is paused, another dies, within two seconds. Cause: recovery from one needs what the other took.",
+	{"platform and endpoints at once", "Faults together break what each alone doesn't: the log goes down, a rack dies, a VM is paused and another dies, within two seconds, and recovery from one fault needs what another has disabled.",
 		func(set *Setup) {
 			set.Faults = []Fault{
 				{8 * time.Second, func(s *Scene) { s.Stream.Set(func(r *fakes.LogRules) { r.Down = true }) }},
@@ -252,7 +251,7 @@
 				{10 * time.Second, func(s *Scene) { s.Kill(s.VM(0)) }},
 			}
 		}, 0.88},
-	{"stragglers", "Symptom: every larger job is slow. Sequence: four endpoints take ten times as long. Cause: slots count the same wherever they are.",
+	{"stragglers", "Every larger job is slow: four endpoints take ten times as long, and the slots of slow endpoints count as much as others.",
 		func(set *Setup) {
 			set.Faults = []Fault{{6 * time.Second, func(s *Scene) {
 				for n := range 4 {
@@ -262,16 +261,16 @@
 		}, 0.90},
 }
 
-func TestPromisesHoldUnderFaults(t *testing.T) {
+func TestGuaranteesHoldUnderFaults(t *testing.T) {
 	for _, c := range faultCases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			set := Brief(0.7)
-			c.set(&set)
+			set := DefaultSetup(0.7)
+			c.apply(&set)
 			s := play(t, set)
 			v := s.Judge.Verdict()
 			t.Logf("%s\n%+v ratio %.3f", c.why, v, mean(ratios(s.Results())))
-			if part := float64(v.Done) / float64(v.Jobs); part < c.spare {
+			if part := float64(v.Done) / float64(v.Jobs); part < c.minDone {
 				t.Errorf("only %.3f of the jobs were done", part)
 			}
 			for _, r := range s.results {
@@ -283,13 +282,13 @@
 	}
 }
 
-// Symptom: a failure domain that comes back after an hour drags the others down, or
-// starts again what others finished. Sequence: it is cut off for an hour under load and
-// healed. Cause: what was kept for it is played, or everybody reconnects at once.
-func TestHourLongCutHealsWithinTenSeconds(t *testing.T) {
+// Guards against a failure domain that overloads the others, or repeats their finished
+// tasks, when it returns after an hour's partition under load: messages kept for it are
+// replayed, or all VMs reconnect at once.
+func TestHourLongPartitionHealsWithinTenSeconds(t *testing.T) {
 	t.Parallel()
 	const from, till = 8 * time.Second, time.Hour + 8*time.Second
-	set := Brief(0.03)
+	set := DefaultSetup(0.03)
 	set.Span = time.Hour + 40*time.Second
 	cut := func(on bool) func(*Scene) {
 		return func(s *Scene) {
--- a/internal/tool/scene/late_test.go
+++ b/internal/tool/scene/late_test.go
@@ -8,9 +8,9 @@
 	"dahliawinch/internal/task/job"
 )
 
-// Guards against a task that starts twice, or a refusal of one that starts, when what VMs give each other, hand over and
-// answer comes seconds late, and when its sender is lost or paused meanwhile.
-func TestLateMessagesStartNothingTwice(t *testing.T) {
+// Guards against a task that starts twice, or is refused but starts, when messages between VMs (forwarded tasks,
+// handed-over jobs and answers) come seconds late, and when their sender dies or is paused meanwhile.
+func TestLateMessagesStartNoTaskTwice(t *testing.T) {
 	const by = 3 * time.Second
 	all := func(s *Scene, do func(v *VM)) {
 		for n := range s.VMs {
@@ -18,15 +18,15 @@
 		}
 	}
 	cases := map[string][]Fault{
-		"one VM's":                 {{6 * time.Second, func(s *Scene) { s.Late(s.VM(1), by) }}},
-		"one VM's, from its start": {{0, func(s *Scene) { s.Late(s.VM(1), by) }}},
-		"all":                      {{6 * time.Second, func(s *Scene) { all(s, func(v *VM) { s.Late(v, by) }) }}},
+		"one VM's":                 {{6 * time.Second, func(s *Scene) { s.DelayMessages(s.VM(1), by) }}},
+		"one VM's, from its start": {{0, func(s *Scene) { s.DelayMessages(s.VM(1), by) }}},
+		"all":                      {{6 * time.Second, func(s *Scene) { all(s, func(v *VM) { s.DelayMessages(v, by) }) }}},
 		"all, and in time again": {
-			{6 * time.Second, func(s *Scene) { all(s, func(v *VM) { s.Late(v, by) }) }},
-			{9 * time.Second, func(s *Scene) { all(s, func(v *VM) { s.Late(v, 0) }) }},
+			{6 * time.Second, func(s *Scene) { all(s, func(v *VM) { s.DelayMessages(v, by) }) }},
+			{9 * time.Second, func(s *Scene) { all(s, func(v *VM) { s.DelayMessages(v, 0) }) }},
 		},
 		"of one that is lost and comes back": {
-			{6 * time.Second, func(s *Scene) { s.Late(s.VM(1), by) }},
+			{6 * time.Second, func(s *Scene) { s.DelayMessages(s.VM(1), by) }},
 			{7 * time.Second, func(s *Scene) {
 				v := s.VM(1)
 				s.Kill(v)
@@ -34,23 +34,23 @@
 			}},
 		},
 		"of one that is paused": {
-			{6 * time.Second, func(s *Scene) { s.Late(s.VM(1), by) }},
+			{6 * time.Second, func(s *Scene) { s.DelayMessages(s.VM(1), by) }},
 			{7 * time.Second, func(s *Scene) { s.Pause(s.VM(1), 2*time.Second) }},
 		},
 	}
 	for name, faults := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			set := topups(0.95)
+			set := ticketSetup(0.95)
 			set.Faults = faults
 			s := play(t, set)
 			ends := map[job.Outcome]int{}
 			for _, r := range s.results {
 				ends[r.Answer.Outcome]++
 			}
-			t.Logf("%d given on or handed over; %v; %+v", s.Wasted(meter.Forward), ends, s.Judge.Verdict())
+			t.Logf("%d forwarded or handed over; %v; %+v", s.Wasted(meter.Forward), ends, s.Judge.Verdict())
 			if s.Wasted(meter.Forward) < 100 {
-				t.Error("too little was given on to show anything")
+				t.Error("fewer than 100 forwarded: the test shows nothing")
 			}
 		})
 	}
--- a/internal/tool/scene/net.go
+++ b/internal/tool/scene/net.go
@@ -1,5 +1,6 @@
-// Package scene puts whole entry VMs between small stand-ins and plays load and
-// faults against them, in the virtual time of testing/synctest.
+// Package scene simulates a deployment: complete entry VMs on fake endpoints, network
+// and platform, under load and injected faults, in the virtual time of
+// testing/synctest.
 package scene
 
 import (
@@ -17,15 +18,15 @@
 	"dahliawinch/internal/task/flow"
 )
 
-// One-way delays of the brief.
+// One-way network delays.
 const (
-	within  = 250 * time.Microsecond // a failure domain
-	between = time.Millisecond       // failure domains
-	client  = 3 * time.Millisecond
+	innerDelay  = 250 * time.Microsecond // inside a failure domain
+	crossDelay  = time.Millisecond       // between failure domains
+	clientDelay = 3 * time.Millisecond   // between caller and VM
 )
 
-// clock is a VM's clock; while the VM is paused nothing that asks for the time
-// goes on, which is what a pause is.
+// clock is a VM's clock. It simulates a pause of the VM: until the pause ends, Now
+// blocks, and with it all code of the VM that reads the time.
 type clock struct {
 	mu    sync.Mutex
 	until time.Time
@@ -51,23 +52,23 @@
 
 var errUnreachable = errors.New("unreachable")
 
-// wire runs tasks on the endpoint stand-ins for one VM.
-type wire struct {
+// runner runs one VM's tasks on the fake endpoints.
+type runner struct {
 	s    *Scene
 	from *VM
 }
 
-func (w *wire) delay(e *fakes.Endpoint) time.Duration {
+func (w *runner) delay(e *fakes.Endpoint) time.Duration {
 	if e.Domain == w.from.Domain {
-		return within
+		return innerDelay
 	}
-	return between
+	return crossDelay
 }
 
 // Run implements flow.Runner.
-func (w *wire) Run(ctx context.Context, at netip.AddrPort, x flow.Exchange) flow.Result {
+func (w *runner) Run(ctx context.Context, at netip.AddrPort, x flow.Exchange) flow.Result {
 	e := w.s.endpoints[at]
-	if e == nil || e.Dead() || w.s.cut(w.from.Domain, e.Domain) {
+	if e == nil || e.Dead() || w.s.isCut(w.from.Domain, e.Domain) {
 		time.Sleep(w.delay(e) * 2)
 		return flow.Result{Ending: flow.Unsent, Err: errUnreachable}
 	}
@@ -84,12 +85,12 @@
 		time.Sleep(w.delay(e))
 		out <- r
 	}()
-	ends := time.NewTimer(time.Until(x.Until))
-	defer ends.Stop()
+	timeout := time.NewTimer(time.Until(x.Until))
+	defer timeout.Stop()
 	select {
 	case r := <-out:
 		return r
-	case <-ends.C:
+	case <-timeout.C:
 		return flow.Result{Ending: flow.Lost, Err: context.DeadlineExceeded}
 	case <-ctx.Done():
 		return flow.Result{Ending: flow.Lost, Err: ctx.Err()}
@@ -114,47 +115,47 @@
 }
 
 // Ask implements flow.Runner.
-func (w *wire) Ask(_ context.Context, at netip.AddrPort) (bool, error) {
+func (w *runner) Ask(_ context.Context, at netip.AddrPort) (bool, error) {
 	e := w.s.endpoints[at]
 	time.Sleep(2 * w.delay(e))
-	if e.Dead() || w.s.cut(w.from.Domain, e.Domain) {
+	if e.Dead() || w.s.isCut(w.from.Domain, e.Domain) {
 		return false, errUnreachable
 	}
 	return e.Leaving(), nil
 }
 
-// reach is the log as one VM reaches it.
-type reach struct {
+// vmLog is the platform's log as one VM sees it.
+type vmLog struct {
 	s    *Scene
 	from *VM
 }
 
-func (r *reach) cut() bool {
-	r.from.clock.Now()
-	r.s.mu.Lock()
-	defer r.s.mu.Unlock()
-	return r.s.logless[r.from.Domain]
+func (l *vmLog) isCut() bool {
+	l.from.clock.Now()
+	l.s.mu.Lock()
+	defer l.s.mu.Unlock()
+	return l.s.logCuts[l.from.Domain]
 }
 
 // Append implements ledger.Log.
-func (r *reach) Append(ctx context.Context, data []byte) (int64, error) {
-	time.Sleep(between)
-	if r.cut() {
+func (l *vmLog) Append(ctx context.Context, data []byte) (int64, error) {
+	time.Sleep(crossDelay)
+	if l.isCut() {
 		return 0, ledger.ErrDown
 	}
-	return r.s.Stream.Append(ctx, data)
+	return l.s.Stream.Append(ctx, data)
 }
 
 // Read implements ledger.Log.
-func (r *reach) Read(ctx context.Context, from int64, wait time.Duration) (ledger.Page, error) {
-	time.Sleep(between)
-	if r.cut() {
+func (l *vmLog) Read(ctx context.Context, from int64, wait time.Duration) (ledger.Page, error) {
+	time.Sleep(crossDelay)
+	if l.isCut() {
 		return ledger.Page{}, ledger.ErrDown
 	}
-	return r.s.Stream.Read(ctx, from, min(wait, time.Second))
+	return l.s.Stream.Read(ctx, from, min(wait, time.Second))
 }
 
-// link carries the messages of one VM to one incarnation of another.
+// link carries messages from one VM to one incarnation of another.
 type link struct {
 	s    *Scene
 	from *VM
@@ -165,19 +166,19 @@
 func (l *link) run() {
 	defer l.s.wg.Done()
 	l.lane.Run(l.s.ctx, func(m frame.Msg) {
-		for l.s.cut(l.from.Domain, l.to.Domain) && !l.to.dead.Load() {
-			time.Sleep(10 * time.Millisecond) // kept and sent again after the cut
+		for l.s.isCut(l.from.Domain, l.to.Domain) && !l.to.dead.Load() {
+			time.Sleep(10 * time.Millisecond) // delivered after the partition
 		}
 		if l.to.dead.Load() {
 			return
 		}
-		l.to.clock.Now() // a paused VM reads later
+		l.to.clock.Now() // a paused VM reads when it resumes
 		l.to.Node.Receive(l.from.hello(), m)
 	})
 }
 
-// post is the mesh of one VM.
-type post struct {
+// vmMesh is the mesh as one VM sees it.
+type vmMesh struct {
 	s     *Scene
 	from  *VM
 	mu    sync.Mutex
@@ -185,8 +186,8 @@
 }
 
 // Cast implements flow.Mesh.
-func (p *post) Cast(to netip.AddrPort, m frame.Msg) error {
-	vm := p.s.at(to)
+func (p *vmMesh) Cast(to netip.AddrPort, m frame.Msg) error {
+	vm := p.s.vmAt(to)
 	if vm == nil || vm.dead.Load() || p.from.dead.Load() {
 		return flow.ErrNoLink
 	}
@@ -199,45 +200,45 @@
 		go l.run()
 	}
 	p.mu.Unlock()
-	d := between
+	d := crossDelay
 	if vm.Domain == p.from.Domain {
-		d = within
+		d = innerDelay
 	}
 	p.from.sent.Add(1)
-	if !l.lane.Put(d+time.Duration(p.from.late.Load()), m) {
+	if !l.lane.Put(d+time.Duration(p.from.delay.Load()), m) {
 		return flow.ErrNoLink
 	}
 	return nil
 }
 
 // Reach implements flow.Mesh.
-func (p *post) Reach(_ context.Context, vm netip.AddrPort) (uint64, error) {
-	time.Sleep(2 * between)
-	v := p.s.at(vm)
-	if v == nil || v.dead.Load() || p.s.cut(p.from.Domain, v.Domain) {
+func (p *vmMesh) Reach(_ context.Context, vm netip.AddrPort) (uint64, error) {
+	time.Sleep(2 * crossDelay)
+	v := p.s.vmAt(vm)
+	if v == nil || v.dead.Load() || p.s.isCut(p.from.Domain, v.Domain) {
 		return 0, flow.ErrNoLink
 	}
 	return v.Inc, nil
 }
 
-// VM is one entry VM of the scene.
+// VM is one incarnation of an entry VM in a scene.
 type VM struct {
-	Mesh   netip.AddrPort
-	Domain string
-	Inc    uint64
-	Node   *flow.Node
-	Keeper *keeper.Keeper
-	clock  *clock
-	cancel context.CancelFunc
-	gone   chan struct{} // closed when it dies
-	dead   atomic.Bool
-	closed atomic.Bool // the balancer sends nothing more
-	tasks  atomic.Int64
-	sent   atomic.Int64
-	late   atomic.Int64 // nanoseconds that its messages to other VMs take longer
-}
-
-// Rev is the revision in force on the VM.
+	Mesh     netip.AddrPort
+	Domain   string
+	Inc      uint64
+	Node     *flow.Node
+	Keeper   *keeper.Keeper
+	clock    *clock
+	cancel   context.CancelFunc
+	killed   chan struct{} // closed when the VM is killed
+	dead     atomic.Bool
+	unrouted atomic.Bool // the load balancer sends no more callers
+	tasks    atomic.Int64
+	sent     atomic.Int64
+	delay    atomic.Int64 // nanoseconds added to the delay of messages to other VMs
+}
+
+// Rev returns the revision in force on the VM.
 func (v *VM) Rev() uint64 {
 	r, _, _ := v.Node.InForce()
 	return r.Rev
--- a/internal/tool/scene/quota_test.go
+++ b/internal/tool/scene/quota_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// busiest is the most starts of a tenant in any window of d, after a time.
-func busiest(s *Scene, tenant string, after, d time.Duration) (most int) {
+// maxStarts returns a tenant's highest number of task starts in any window of d that
+// begins after a time.
+func maxStarts(s *Scene, tenant string, after, d time.Duration) (most int) {
 	all := slices.Clone(s.starts[tenant])
 	slices.Sort(all)
 	from := 0
@@ -28,7 +29,7 @@
 )
 
 func quotaSetup() Setup {
-	set := Brief(0.7)
+	set := DefaultSetup(0.7)
 	set.Span = 40 * time.Second
 	crew := set.Doc.Tenants["crew"]
 	crew.Rate = quotaRate
@@ -36,13 +37,13 @@
 	return set
 }
 
-// Symptom: a tenant gets several times its quota. Sequence: its callers come to all
-// eight VMs and want five times the quota. Cause: each VM grants the whole quota, or
-// its share follows demand before the peers have heard of it.
+// Guards against a tenant that gets several times its quota when its callers ask all
+// eight VMs for five times as much: each VM grants the whole quota, or raises its share
+// with demand before its peers have lowered theirs.
 func TestQuotaHoldsOverAllVMs(t *testing.T) {
 	t.Parallel()
 	s := play(t, quotaSetup())
-	most := busiest(s, "crew", 0, quotaWindow)
+	most := maxStarts(s, "crew", 0, quotaWindow)
 	allowed := quotaRate * quotaWindow.Seconds()
 	in := 0
 	for _, at := range s.starts["crew"] {
@@ -60,9 +61,9 @@
 	}
 }
 
-// A cut-off failure domain hears nobody and may use the whole quota: with one domain
-// cut off there are two sides, and twice the quota is the bound.
-func TestQuotaWhenADomainIsCutOff(t *testing.T) {
+// An isolated failure domain receives no messages and may use the whole quota: a
+// partition has two sides, so the bound is twice the quota.
+func TestQuotaUnderPartition(t *testing.T) {
 	t.Parallel()
 	set := quotaSetup()
 	set.Faults = []Fault{{15 * time.Second, func(s *Scene) {
@@ -75,8 +76,8 @@
 		}
 	}}}
 	s := play(t, set)
-	most := busiest(s, "crew", 0, quotaWindow)
-	healed := busiest(s, "crew", 38*time.Second, quotaWindow)
+	most := maxStarts(s, "crew", 0, quotaWindow)
+	healed := maxStarts(s, "crew", 38*time.Second, quotaWindow)
 	allowed := quotaRate * quotaWindow.Seconds()
 	t.Logf("cut off: %.3f of the quota in the busiest 5 s; healed: %.3f", float64(most)/allowed, float64(healed)/allowed)
 	if float64(most) > 2*1.05*allowed {
--- a/internal/tool/scene/random_test.go
+++ b/internal/tool/scene/random_test.go
@@ -13,18 +13,18 @@
 )
 
 var (
-	seeds = flag.Int("seeds", 6, "random fault sequences to play")
-	seed  = flag.Uint64("seed", 1, "the first of them")
+	seeds = flag.Int("seeds", 6, "number of random fault sequences")
+	seed  = flag.Uint64("seed", 1, "first seed of the sequences")
 )
 
-// found are seeds that once broke a promise.
-var found = []uint64{
-	132, // a VM without a document refused a copy of a submission that another ran
+// regressionSeeds are seeds that once violated a guarantee; they always run.
+var regressionSeeds = []uint64{
+	132, // a VM without a document refused a copy of a submission that another VM ran
 }
 
-// menu is what may go wrong at any moment, together or twice; each entry makes one
-// fault of its own randomness.
-var menu = []struct {
+// faultKinds are the faults to choose from, at any time, together or repeatedly; make
+// draws a fault's parameters from r.
+var faultKinds = []struct {
 	name string
 	make func(r *rand.Rand) func(*Scene)
 }{
@@ -92,17 +92,17 @@
 		n, w := r.IntN(8), 1+float64(r.IntN(9))
 		return func(s *Scene) {
 			if v := s.VM(n); !v.dead.Load() {
-				_, _ = s.Declare(s.ctx, v, "op", setWeight(w)) // whether it wins is judged by the revisions
+				_, _ = s.Declare(s.ctx, v, "op", setWeight(w)) // it may lose; the test checks the revisions
 			}
 		}
 	}},
 }
 
-// Symptom: a promise breaks that no single fault breaks. Sequence: five to nine faults
-// at random moments, together or twice, under load with resubmitted top-ups. Cause: as
-// found; a failing seed plays again with -seed N -seeds 1.
+// Guards against guarantees that only a combination of faults violates: five to nine
+// faults at random times, together or repeatedly, under load with resubmitted tickets.
+// Rerun a failing seed with -seed N -seeds 1.
 func TestRandomFaultsBreakNoPromise(t *testing.T) {
-	all := append([]uint64{}, found...)
+	all := append([]uint64{}, regressionSeeds...)
 	for i := range *seeds {
 		all = append(all, *seed+uint64(i))
 	}
@@ -110,15 +110,15 @@
 		t.Run(fmt.Sprint("seed-", n), func(t *testing.T) {
 			t.Parallel()
 			r := rand.New(rand.NewPCG(n, 99))
-			set := topups(0.5)
+			set := ticketSetup(0.5)
 			set.Seed, set.Span = n, 15*time.Second
 			set.Lag = time.Duration(r.IntN(5)) * time.Second
-			var story []string
+			var applied []string
 			for range 5 + r.IntN(5) {
-				m := menu[r.IntN(len(menu))]
+				m := faultKinds[r.IntN(len(faultKinds))]
 				at := set.Warm + time.Duration(r.IntN(12_000))*time.Millisecond
 				set.Faults = append(set.Faults, Fault{at, m.make(r)})
-				story = append(story, fmt.Sprintf("%s at %s", m.name, at))
+				applied = append(applied, fmt.Sprintf("%s at %s", m.name, at))
 			}
 			reverted := ""
 			set.Faults = append(set.Faults, Fault{0, func(s *Scene) {
@@ -136,7 +136,7 @@
 				}
 			}})
 			s := play(t, set)
-			t.Logf("%s: %+v", strings.Join(story, ", "), s.Judge.Verdict())
+			t.Logf("%s: %+v", strings.Join(applied, ", "), s.Judge.Verdict())
 			for _, x := range s.results {
 				if v := s.Judge.Verdict(); v.Broken() > 0 && x.Answer.Outcome == job.Refused {
 					t.Logf("%s refused at %s after %s: %s %s", x.Job.Name, x.At, x.Took, x.Answer.Reason, x.Answer.Detail)
--- a/internal/tool/scene/scene.go
+++ b/internal/tool/scene/scene.go
@@ -24,41 +24,42 @@
 	"dahliawinch/internal/tool/mix"
 )
 
-// Setup is a deployment and its load.
+// Setup configures a deployment, its load and its faults.
 type Setup struct {
 	Domains   int
 	VMs       int
 	Endpoints int
-	Slots     int
+	Slots     int // of an endpoint
 	Policy    string
-	Spill     bool
+	Spill     bool // as in flow.Config, like the next two
 	Stretch   float64
 	Foresight bool
-	Lag       time.Duration // of the platform's list
+	Lag       time.Duration // by which the platform's list is stale
 	Doc       *doc.Document
 	Mix       mix.Mix
-	Load      float64 // offered slot time over the slots
-	Warm      time.Duration
-	Span      time.Duration // measured after Warm
+	Load      float64       // offered slot time over the capacity of all slots
+	Warm      time.Duration // before the measured span
+	Span      time.Duration // measured, after Warm
 	Seed      uint64
 	// Rate scales the load at a time since the start; nil is 1 throughout.
 	Rate func(at time.Duration) float64
-	// Faults are played beside the load, each at its time.
+	// Faults are injected during the load, each at its time.
 	Faults []Fault
 	Log    io.Writer
-	// LogRules are the platform log's limits, Retention what the VMs know of it.
+	// LogRules are the platform log's limits; Retention is how long the VMs assume that it
+	// keeps records.
 	LogRules  fakes.LogRules
 	Retention time.Duration
 }
 
-// Fault does something to the scene at a time since its start.
+// Fault is an action on the scene at a time since its start.
 type Fault struct {
 	At time.Duration
 	Do func(*Scene)
 }
 
-// Brief is the deployment of the brief's sizes under a load.
-func Brief(load float64) Setup {
+// DefaultSetup returns a deployment of the service's initial size under a load.
+func DefaultSetup(load float64) Setup {
 	return Setup{
 		Domains: 4, VMs: 8, Endpoints: 50, Slots: 8, Policy: place.Homes, Spill: true,
 		Stretch: flow.DefaultStretch, Foresight: true,
@@ -69,28 +70,28 @@
 	}
 }
 
-// Scene is a deployment in play.
+// Scene is a running deployment.
 type Scene struct {
 	Setup
 	Judge *judge.Judge
 	List  *fakes.List
-	// Stream is the service's stream of the platform's log.
+	// Stream is the service's stream in the platform's log.
 	Stream *fakes.Log
 
-	ctx       context.Context //nolint:containedctx // the life of the scene
+	ctx       context.Context //nolint:containedctx // ends with the scene
 	end       context.CancelFunc
 	wg        sync.WaitGroup
 	began     time.Time
-	r         *rand.Rand
+	rng       *rand.Rand
 	mu        sync.Mutex
 	vms       []*VM
 	cuts      map[[2]string]bool
-	logless   map[string]bool // failure domains cut off from the log
+	logCuts   map[string]bool // failure domains disconnected from the log
 	endpoints map[netip.AddrPort]*fakes.Endpoint
-	order     []netip.AddrPort
+	addrs     []netip.AddrPort // of the endpoints, by index
 	meters    []*meter.Meter
-	nodes     []*flow.Node               // of every life of every VM
-	marks     [2]counts                  // at the start and the end of the measured span
+	nodes     []*flow.Node               // of every incarnation of every VM
+	totals    [2]counts                  // at the start and the end of the measured span
 	tenants   map[string]string          // by job
 	starts    map[string][]time.Duration // of tasks, by tenant
 	results   []Result
@@ -98,14 +99,14 @@
 	serial    atomic.Uint64
 }
 
-// domainName names the n-th failure domain.
+// domainName returns the name of the n-th failure domain.
 func domainName(n int) string { return fmt.Sprintf("fd-%c", 'a'+n) }
 
-// Play runs a setup to its end; it must be called inside a synctest bubble.
-func Play(set Setup) *Scene {
+// Run runs a setup to its end. It must be called inside a synctest bubble.
+func Run(set Setup) *Scene {
 	s := &Scene{
-		Setup: set, Judge: judge.New(), r: rand.New(rand.NewPCG(set.Seed, 77)), began: time.Now(),
-		cuts: map[[2]string]bool{}, logless: map[string]bool{}, tenants: map[string]string{}, starts: map[string][]time.Duration{}, endpoints: map[netip.AddrPort]*fakes.Endpoint{},
+		Setup: set, Judge: judge.New(), rng: rand.New(rand.NewPCG(set.Seed, 77)), began: time.Now(),
+		cuts: map[[2]string]bool{}, logCuts: map[string]bool{}, tenants: map[string]string{}, starts: map[string][]time.Duration{}, endpoints: map[netip.AddrPort]*fakes.Endpoint{},
 	}
 	s.ctx, s.end = context.WithCancel(context.Background())
 	s.build()
@@ -123,11 +124,11 @@
 	go func() {
 		defer s.wg.Done()
 		time.Sleep(s.Warm)
-		s.marks[0] = s.count()
+		s.totals[0] = s.count()
 		time.Sleep(s.Span)
-		s.marks[1] = s.count()
+		s.totals[1] = s.count()
 	}()
-	s.load()
+	s.runLoad()
 	s.finish()
 	return s
 }
@@ -140,7 +141,7 @@
 			Slots: s.Slots, Size: job.Size{Cores: 64, Memory: 128},
 		}
 		s.endpoints[a] = fakes.NewEndpoint(in, s)
-		s.order = append(s.order, a)
+		s.addrs = append(s.addrs, a)
 		list.Endpoints = append(list.Endpoints, roster.Endpoint{Info: in})
 	}
 	for i, a := range fakes.Addrs(20, s.VMs) {
@@ -153,9 +154,10 @@
 	}
 }
 
-// Boot starts a VM; at an address that had one, it is a new incarnation.
+// Boot starts a VM. At the address of an earlier VM it is a new incarnation and replaces
+// that one.
 func (s *Scene) Boot(at netip.AddrPort, domain string) *VM {
-	v := &VM{Mesh: at, Domain: domain, Inc: s.serial.Add(1), clock: &clock{}, gone: make(chan struct{})}
+	v := &VM{Mesh: at, Domain: domain, Inc: s.serial.Add(1), clock: &clock{}, killed: make(chan struct{})}
 	ctx, cancel := context.WithCancel(s.ctx)
 	v.cancel = cancel
 	timers := timer.New(v.clock)
@@ -170,11 +172,11 @@
 		Memory: flow.DefaultMemory, Term: flow.DefaultTerm, Tickets: flow.DefaultTickets,
 		Retries: flow.DefaultRetries, Spill: s.Spill, Stretch: s.Stretch, Foresight: s.Foresight,
 	}, flow.Parts{
-		Timers: timers, Runner: &wire{s: s, from: v}, Mesh: &post{s: s, from: v, links: map[*VM]*link{}}, Meter: m,
+		Timers: timers, Runner: &runner{s: s, from: v}, Mesh: &vmMesh{s: s, from: v, links: map[*VM]*link{}}, Meter: m,
 		Log: log,
 	})
 	if err != nil {
-		panic(err) // a scene is written by hand
+		panic(err) // a bug in the setup
 	}
 	v.Node = node
 	s.mu.Lock()
@@ -196,7 +198,7 @@
 		timers.Run(ctx)
 	}()
 	node.Start()
-	v.Keeper = keeper.New(&reach{s: s, from: v}, timers, s.Retention, node.Apply, log)
+	v.Keeper = keeper.New(&vmLog{s: s, from: v}, timers, s.Retention, node.Apply, log)
 	node.Bind(v.Keeper)
 	s.wg.Add(1)
 	go func() {
@@ -210,11 +212,11 @@
 			v.Keeper.Renew(ctx)
 		}()
 	})
-	s.watch(ctx, v)
+	s.pollList(ctx, v)
 	return v
 }
 
-// declare puts the first document in force before any load comes.
+// declare puts the first document in force on all VMs before the load starts.
 func (s *Scene) declare() {
 	text, err := s.Doc.Encode()
 	if err != nil {
@@ -232,14 +234,14 @@
 	}
 }
 
-// watch keeps a VM's copy of the list fresh.
-func (s *Scene) watch(ctx context.Context, v *VM) {
-	learn := func() {
+// pollList refreshes a VM's copy of the platform's list every second.
+func (s *Scene) pollList(ctx context.Context, v *VM) {
+	refresh := func() {
 		if l, err := s.List.List(ctx); err == nil {
 			v.Node.Learn(l)
 		}
 	}
-	learn()
+	refresh()
 	s.wg.Add(1)
 	go func() {
 		defer s.wg.Done()
@@ -248,13 +250,13 @@
 			case <-ctx.Done():
 			case <-time.After(time.Second):
 				v.clock.Now()
-				learn()
+				refresh()
 			}
 		}
 	}()
 }
 
-func (s *Scene) at(a netip.AddrPort) *VM {
+func (s *Scene) vmAt(a netip.AddrPort) *VM {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, v := range s.vms {
@@ -265,7 +267,7 @@
 	return nil
 }
 
-// VM returns the n-th entry VM as it is now.
+// VM returns the current incarnation of the n-th entry VM.
 func (s *Scene) VM(n int) *VM {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -273,9 +275,9 @@
 }
 
 // Endpoint returns the n-th endpoint.
-func (s *Scene) Endpoint(n int) *fakes.Endpoint { return s.endpoints[s.order[n]] }
+func (s *Scene) Endpoint(n int) *fakes.Endpoint { return s.endpoints[s.addrs[n]] }
 
-// finish lets everything that was started come to its end.
+// finish waits 10 s for work in progress, then stops all VMs.
 func (s *Scene) finish() {
 	time.Sleep(10 * time.Second)
 	s.end()
--- a/internal/tool/scene/ticket_test.go
+++ b/internal/tool/scene/ticket_test.go
@@ -7,19 +7,20 @@
 	"dahliawinch/internal/task/job"
 )
 
-// topups makes a third of the load non-idempotent work under tickets.
-func topups(load float64) Setup {
-	set := Brief(load)
+// ticketSetup returns a setup with a third of the load non-idempotent jobs that need
+// tickets.
+func ticketSetup(load float64) Setup {
+	set := DefaultSetup(load)
 	k := set.Mix.Kinds[0]
 	k.Name, k.Class, k.Ticket, k.Share = "topup", "topup", true, 0.4
 	set.Mix.Kinds = append(set.Mix.Kinds, k)
 	return set
 }
 
-// Symptom: a top-up is charged twice. Sequence: its caller sends it to two VMs at
-// once, and again whenever the outcome is unknown, while VMs die, are paused, are
-// cut off, leave, and come back as new incarnations. Cause: two VMs, or two lives of
-// one, each take the submission for its first copy.
+// Guards against a job with a ticket that runs twice: its caller sends it to two VMs at
+// once, and again while the outcome is unknown, while VMs die, are paused, partitioned,
+// replaced and booted again. Two VMs, or two incarnations of one, each take their copy
+// of the submission for the first.
 func TestTicketedWorkRunsAtMostOnce(t *testing.T) {
 	cases := map[string][]Fault{
 		"no fault": nil,
@@ -49,7 +50,7 @@
 	for name, faults := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			set := topups(0.6)
+			set := ticketSetup(0.6)
 			set.Faults = faults
 			s := play(t, set)
 			n, done := 0, 0
@@ -69,13 +70,13 @@
 	}
 }
 
-// Symptom: callers lose requests whenever a VM is replaced. Sequence: all eight VMs
-// leave and are replaced, one after another, under 70 % load. Cause: a leaving VM
-// drops what it holds, or refuses what the balancer still sends.
-func TestRollingReplacementCutsNothing(t *testing.T) {
+// Guards against requests lost whenever a VM is replaced: all eight VMs are replaced one
+// by one under 70 % load, and a draining VM drops jobs in progress, or refuses those
+// that the load balancer still sends.
+func TestRollingReplacementLosesNoJob(t *testing.T) {
 	t.Parallel()
 	const bound = 1.3
-	set := topups(0.7)
+	set := ticketSetup(0.7)
 	set.Span = 70 * time.Second
 	var failed error
 	set.Faults = []Fault{{6 * time.Second, func(s *Scene) {
