--- a/internal/tool/local/local.go
+++ b/internal/tool/local/local.go
@@ -1,5 +1,6 @@
-// Package local runs a whole deployment in one process on loopback: stand-ins for
-// the platform and real entry daemons, which talk over TCP as on VMs of their own.
+// Package local runs a whole deployment in one process on loopback: fakes of the
+// platform and its endpoints, and real entry daemons, which talk over TCP as they do on
+// separate VMs.
 package local
 
 import (
@@ -26,25 +27,25 @@
 	"dahliawinch/internal/task/place"
 )
 
-// Shape of a deployment.
+// Shape is the size and configuration of a deployment.
 type Shape struct {
 	Domains   int
 	VMs       int
 	Endpoints int
-	Slots     int
-	Lag       time.Duration // of the platform's list
-	Slow      time.Duration // of its answers
-	Stream    string
-	Policy    string
+	Slots     int               // of an endpoint
+	ListLag   time.Duration     // by which the platform's list is stale
+	ListDelay time.Duration     // delay of the list's answers
+	Stream    string            // in the platform's log
+	Policy    string            // of placement
 	Operators map[string]string // key hashes by name
 	TLS       setup.TLS
 	Log       fakes.LogRules
 }
 
-// Brief is the shape of the brief's sizes.
+// DefaultShape returns the service's initial size: 8 VMs in 4 failure domains, 50 endpoints.
 func Brief() Shape {
 	return Shape{
-		Domains: 4, VMs: 8, Endpoints: 50, Slots: 8, Lag: 2 * time.Second, Stream: "mixed", Policy: place.Homes,
+		Domains: 4, VMs: 8, Endpoints: 50, Slots: 8, ListLag: 2 * time.Second, Stream: "mixed", Policy: place.Homes,
 		Log: fakes.LogRules{Rate: 400, Synced: 5 * time.Millisecond, Keep: time.Hour},
 	}
 }
@@ -58,33 +59,33 @@
 	done     chan struct{}
 }
 
-// Leave starts the VM's graceful shutdown; Done is closed at its end.
+// Leave starts the VM's graceful shutdown; Done is closed when it is complete.
 func (v *VM) Leave() { v.leave() }
 
-// Kill ends the VM at once.
+// Kill stops the VM at once.
 func (v *VM) Kill() { v.kill() }
 
-// Done is closed when the VM has ended.
+// Done returns a channel that is closed when the VM has stopped.
 func (v *VM) Done() <-chan struct{} { return v.done }
 
-// Deployment is a running one.
+// Deployment is a running deployment.
 type Deployment struct {
 	Shape
 	Streams   *fakes.Streams
 	List      *fakes.List
 	Endpoints []*fakes.Endpoint
 	VMs       []*VM
-	LogAt     netip.AddrPort
-	ListAt    netip.AddrPort
+	LogAt     netip.AddrPort // address of the platform's log
+	ListAt    netip.AddrPort // and of its list
 
-	group *errgroup.Group
-	ctx   context.Context //nolint:containedctx // the life of the deployment
-	end   context.CancelFunc
-	out   *slog.Logger
+	group  *errgroup.Group
+	ctx    context.Context //nolint:containedctx // ends with the deployment
+	cancel context.CancelFunc
+	log    *slog.Logger
 }
 
-// loopback listens on a free port.
-func loopback() (net.Listener, netip.AddrPort, error) {
+// listenLoopback listens on a free loopback port.
+func listenLoopback() (net.Listener, netip.AddrPort, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, netip.AddrPort{}, fmt.Errorf("listen on loopback: %w", err)
@@ -92,65 +93,66 @@
 	return l, l.Addr().(*net.TCPAddr).AddrPort(), nil
 }
 
-// Ports for daemons are taken below those that the system gives to outgoing
-// connections: a port found free up there may be used by a connection a moment later,
-// and the daemon would fail to listen.
+// Daemons get ports below the system's ephemeral range: an outgoing connection could
+// take a free port of that range before the daemon listens on it.
 const (
-	lowPort = 10_000
-	blocks  = 80
-	block   = 250 // ports
+	firstPort  = 10_000
+	blockCount = 80
+	blockSize  = 250 // ports in a block
 )
 
-// reserve has the blocks of ports of this process, which holds each by listening on a port of its own below them:
-// a daemon that is restarted must find its ports free, also when other processes look for some.
-type reserve struct {
-	mu   sync.Mutex
-	held []held
-	next int // port of the last block
+// portPool hands out ports from blocks that this process has claimed. It claims a block by listening on the block's
+// lock port, below all blocks: other processes skip it, so a restarted daemon finds its ports free.
+type portPool struct {
+	mu      sync.Mutex
+	claimed []portBlock
+	next    int // index in the last block
 }
 
-type held struct {
-	first int
-	mark  net.Listener
+// portBlock is a claimed block.
+type portBlock struct {
+	first int          // port
+	lock  net.Listener // on the lock port
 }
 
-var spare reserve
+var ports portPool
 
-// port returns the next port. Once no block is free they come round again.
-func (r *reserve) port() (uint16, error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if len(r.held) == 0 || r.next == block {
-		if err := r.more(); err != nil && len(r.held) == 0 {
+// port returns the next port. When no block is free, it reuses those of this process.
+func (p *portPool) port() (uint16, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if len(p.claimed) == 0 || p.next == blockSize {
+		if err := p.claim(); err != nil && len(p.claimed) == 0 {
 			return 0, err
 		}
-		r.next = 0
+		p.next = 0
 	}
-	r.next++
-	return uint16(r.held[len(r.held)-1].first + r.next - 1), nil
+	p.next++
+	return uint16(p.claimed[len(p.claimed)-1].first + p.next - 1), nil
 }
 
-// more takes a block that no process holds, or the oldest of this one.
-func (r *reserve) more() (err error) {
-	for i := range blocks {
-		n := (os.Getpid() + i) % blocks
+// claim adds a block that no process holds. If there is none, it moves the oldest block
+// to the end for reuse and returns an error.
+func (p *portPool) claim() (err error) {
+	for i := range blockCount {
+		n := (os.Getpid() + i) % blockCount
 		var l net.Listener
-		if l, err = net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", lowPort-blocks+n)); err == nil {
-			r.held = append(r.held, held{lowPort + n*block, l})
+		if l, err = net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", firstPort-blockCount+n)); err == nil {
+			p.claimed = append(p.claimed, portBlock{firstPort + n*blockSize, l})
 			return nil
 		}
 	}
-	if len(r.held) > 0 {
-		r.held = append(r.held[1:], r.held[0])
+	if len(p.claimed) > 0 {
+		p.claimed = append(p.claimed[1:], p.claimed[0])
 	}
-	return fmt.Errorf("no block of ports: %w", err)
+	return fmt.Errorf("no free block of ports: %w", err)
 }
 
-// Spare finds a free port on loopback that no other deployment gets.
+// FreeAddr returns a loopback address with a free port that no other deployment gets.
 func Spare() (netip.AddrPort, error) {
 	var last error
 	for range 100 {
-		n, err := spare.port()
+		n, err := ports.port()
 		if err != nil {
 			return netip.AddrPort{}, err
 		}
@@ -168,10 +170,10 @@
 	return netip.AddrPort{}, fmt.Errorf("free port: %w", last)
 }
 
-// Start brings a deployment up.
-func Start(ctx context.Context, shape Shape, w fakes.Witness, out *slog.Logger) (*Deployment, error) {
-	ctx, end := context.WithCancel(ctx)
-	d := &Deployment{Shape: shape, Streams: fakes.NewStreams(shape.Log), end: end, out: out}
+// Start starts a deployment; the witness is notified of each start of a task.
+func Start(ctx context.Context, shape Shape, w fakes.Witness, log *slog.Logger) (*Deployment, error) {
+	ctx, cancel := context.WithCancel(ctx)
+	d := &Deployment{Shape: shape, Streams: fakes.NewStreams(shape.Log), cancel: cancel, log: log}
 	d.group, d.ctx = errgroup.WithContext(ctx)
 	if err := d.start(w); err != nil {
 		return nil, errors.Join(err, d.Stop())
@@ -182,7 +184,7 @@
 func (d *Deployment) start(w fakes.Witness) error {
 	var list roster.List
 	for i := range d.Shape.Endpoints {
-		l, at, err := loopback()
+		l, at, err := listenLoopback()
 		if err != nil {
 			return err
 		}
@@ -202,9 +204,9 @@
 		}
 		list.VMs = append(list.VMs, roster.VM{Mesh: at, Domain: DomainName(i % d.Domains)})
 	}
-	d.List = fakes.NewList(d.Lag, list)
-	d.List.Slow(d.Slow)
-	if err := d.platform(); err != nil {
+	d.List = fakes.NewList(d.ListLag, list)
+	d.List.Slow(d.ListDelay)
+	if err := d.startPlatform(); err != nil {
 		return err
 	}
 	for _, v := range list.VMs {
@@ -215,14 +217,14 @@
 	return nil
 }
 
-func (d *Deployment) platform() error {
-	l, at, err := loopback()
+func (d *Deployment) startPlatform() error {
+	l, at, err := listenLoopback()
 	if err != nil {
 		return err
 	}
 	d.LogAt = at
 	d.group.Go(func() error { return fakes.ServeLog(d.ctx, d.Streams, l) })
-	l2, at, err := loopback()
+	l2, at, err := listenLoopback()
 	if err != nil {
 		return err
 	}
@@ -231,7 +233,7 @@
 	return nil
 }
 
-// DomainName names the n-th failure domain.
+// DomainName returns the name of the n-th failure domain.
 func DomainName(n int) string { return fmt.Sprintf("fd-%c", 'a'+n) }
 
 // Boot starts an entry VM at a mesh address.
@@ -248,9 +250,9 @@
 	if set.Operator, err = Spare(); err != nil {
 		return nil, err
 	}
-	life, kill := context.WithCancel(d.ctx)
-	stay, leave := context.WithCancel(d.ctx)
-	daemon, err := entry.New(life, set, d.out.With("vm", mesh))
+	killCtx, kill := context.WithCancel(d.ctx)
+	leaveCtx, leave := context.WithCancel(d.ctx)
+	daemon, err := entry.New(killCtx, set, d.log.With("vm", mesh))
 	if err != nil {
 		kill()
 		leave()
@@ -262,22 +264,22 @@
 		defer close(v.done)
 		defer kill()
 		defer leave()
-		return daemon.Run(life, stay)
+		return daemon.Run(killCtx, leaveCtx)
 	})
 	return v, nil
 }
 
-// Stop ends everything.
+// Stop stops the deployment and waits for its end.
 func (d *Deployment) Stop() error {
-	d.end()
+	d.cancel()
 	if err := d.group.Wait(); err != nil {
 		return fmt.Errorf("stop deployment: %w", err)
 	}
 	return nil
 }
 
-// Declare puts a document in force through the log, by way of the first VM, and
-// returns when every VM has it, hears the others and knows the endpoints.
+// Declare declares a document through the first VM. It returns when the document is in
+// force on every VM, and every VM is connected to the others and knows the endpoints.
 func (d *Deployment) Declare(ctx context.Context, document *doc.Document) error {
 	text, err := document.Encode()
 	if err != nil {
@@ -294,14 +296,14 @@
 	if !v.Won {
 		return fmt.Errorf("declare: %w: %s", errLost, v.Author)
 	}
-	if err := d.InForce(ctx, v.Rev); err != nil {
+	if err := d.AwaitRevision(ctx, v.Rev); err != nil {
 		return err
 	}
-	return errors.Join(d.Joined(ctx), d.known(ctx))
+	return errors.Join(d.AwaitMembers(ctx), d.awaitEndpoints(ctx))
 }
 
-// known returns when every VM has read the platform's list.
-func (d *Deployment) known(ctx context.Context) error {
+// awaitEndpoints returns when every VM has read the platform's list.
+func (d *Deployment) awaitEndpoints(ctx context.Context) error {
 	for _, v := range d.VMs {
 		for len(d.Endpoints) > 0 && v.Daemon.Node().Stats().Known == 0 {
 			select {
@@ -318,8 +320,8 @@
 
 var errLost = errors.New("another declaration was first")
 
-// InForce returns when every VM that runs has a revision.
-func (d *Deployment) InForce(ctx context.Context, rev uint64) error {
+// AwaitRevision returns when the revision is in force on every running VM.
+func (d *Deployment) AwaitRevision(ctx context.Context, rev uint64) error {
 	for _, v := range d.VMs {
 		for {
 			if r, _, ok := v.Daemon.Node().InForce(); ok && r.Rev >= rev {
@@ -338,10 +340,10 @@
 	return nil
 }
 
-// Joined returns when every VM hears every other.
-func (d *Deployment) Joined(ctx context.Context) error {
+// AwaitMembers returns when every VM receives heartbeats of every other.
+func (d *Deployment) AwaitMembers(ctx context.Context) error {
 	for _, v := range d.VMs {
-		for !hears(v, len(d.VMs)-1) {
+		for !connected(v, len(d.VMs)-1) {
 			select {
 			case <-ctx.Done():
 				return fmt.Errorf("await members: %w", ctx.Err())
@@ -352,7 +354,8 @@
 	return nil
 }
 
-func hears(v *VM, n int) bool {
+// connected reports whether a VM has at least n usable peers.
+func connected(v *VM, n int) bool {
 	for _, m := range v.Daemon.Node().View().Members() {
 		if m.Usable() {
 			n--
@@ -361,7 +364,7 @@
 	return n <= 0
 }
 
-// Wasted sums the wasted messages of a cause over all VMs.
+// Wasted returns the number of wasted messages of a cause over all VMs.
 func (d *Deployment) Wasted(c meter.Cause) (n int64) {
 	for _, v := range d.VMs {
 		n += v.Daemon.Meter().Wasted(c)
@@ -369,7 +372,7 @@
 	return n
 }
 
-// Starts sums the attempts of all VMs.
+// Starts returns the number of task starts of all VMs, retries included.
 func (d *Deployment) Starts() (n int64) {
 	for _, v := range d.VMs {
 		n += v.Daemon.Meter().Starts()
--- a/internal/tool/local/local_test.go
+++ b/internal/tool/local/local_test.go
@@ -24,13 +24,14 @@
 	"dahliawinch/winch"
 )
 
-// up starts a small deployment over real sockets.
-func up(t *testing.T, j *judge.Judge) *Deployment {
+// start starts a small deployment over real sockets.
+func start(t *testing.T, j *judge.Judge) *Deployment {
 	t.Helper()
-	return upWith(t, j, func(*Shape) {})
+	return startWith(t, j, func(*Shape) {})
 }
 
-func upWith(t *testing.T, j *judge.Judge, change func(*Shape)) *Deployment {
+// startWith is start with a changed shape.
+func startWith(t *testing.T, j *judge.Judge, change func(*Shape)) *Deployment {
 	t.Helper()
 	shape := Brief()
 	shape.Domains, shape.VMs, shape.Endpoints = 2, 4, 6
@@ -52,13 +53,13 @@
 	return d
 }
 
-// page is a job of one short task.
-func page(deadline time.Duration) winch.Job {
+// shortJob returns a job of one task of 5 ms.
+func shortJob(deadline time.Duration) winch.Job {
 	return winch.Job{Class: "render", Deadline: deadline, Tasks: []winch.Task{{Body: map[string]any{"job": "page", "task": 0, "run": "5ms"}}}}
 }
 
-// restarted kills a deployment's n-th VM and starts it again while the platform's list answers slowly.
-func restarted(t *testing.T, d *Deployment, n int, slow time.Duration) *VM {
+// restart kills a deployment's n-th VM and boots it again while the platform's list answers slowly.
+func restart(t *testing.T, d *Deployment, n int, slow time.Duration) *VM {
 	t.Helper()
 	old := d.VMs[n]
 	old.Kill()
@@ -72,49 +73,47 @@
 	return v
 }
 
-// Symptom: the first job after a document was put in force is refused, "no endpoint is known", on a
-// busy machine. Sequence: the document is in force on a VM that has not read the platform's list yet.
-// Cause: whoever declares is told that the deployment is ready by the document alone.
+// Guards against a first job that is refused with "no endpoint is known", as seen on a busy machine:
+// Declare must not return before the VMs have read the platform's list.
 func TestDeclaredDeploymentKnowsItsEndpoints(t *testing.T) {
 	is := is.New(t)
-	d := upWith(t, judge.New(), func(s *Shape) { s.Domains, s.VMs, s.Slow = 1, 1, time.Second })
+	d := startWith(t, judge.New(), func(s *Shape) { s.Domains, s.VMs, s.ListDelay = 1, 1, time.Second })
 	c := winch.NewClient(d.VMs[0].Settings.Caller, "demo-crew")
-	a, err := c.Submit(t.Context(), page(5*time.Second))
+	a, err := c.Submit(t.Context(), shortJob(5*time.Second))
 	is.NoErr(err)
 	is.Equal(a.Detail, "")
 	is.Equal(a.Outcome, winch.Done)
 }
 
-// What happens: a VM is restarted while the platform's list answers slowly; its neighbour knows all
-// endpoints, and callers are refused with "no endpoint is known" until the list has come. Why: a VM
-// without endpoints judges a submission by itself, though it hears VMs that could run it. What showed
-// it: the same answer that ExampleClient_Submit got on a busy machine, from a VM with one neighbour.
-func TestVMWithoutTheListHandsOver(t *testing.T) {
+// Guards against callers that are refused with "no endpoint is known" by a VM that is restarted while
+// the platform's list answers slowly, although its peer knows all endpoints: it must hand the job over
+// rather than refuse it. ExampleClient_Submit got this answer on a busy machine.
+func TestVMWithoutListHandsJobOver(t *testing.T) {
 	is := is.New(t)
-	d := upWith(t, judge.New(), func(s *Shape) { s.Domains, s.VMs = 1, 2 })
-	v := restarted(t, d, 1, 5*time.Second)
-	for !hears(v, 1) || !inForce(v) {
+	d := startWith(t, judge.New(), func(s *Shape) { s.Domains, s.VMs = 1, 2 })
+	v := restart(t, d, 1, 5*time.Second)
+	for !connected(v, 1) || !inForce(v) {
 		time.Sleep(10 * time.Millisecond)
 	}
 	is.Equal(v.Daemon.Node().Stats().Known, 0)
 	c := winch.NewClient(v.Settings.Caller, "demo-crew")
-	a, err := c.Submit(t.Context(), page(3*time.Second))
+	a, err := c.Submit(t.Context(), shortJob(3*time.Second))
 	is.NoErr(err)
 	is.Equal(a.Detail, "")
 	is.Equal(a.Outcome, winch.Done)
 }
 
-// Guards against callers that are told nothing of when to return by a VM that knows no endpoint.
-func TestAloneWithoutTheListAVMSaysWhenToReturn(t *testing.T) {
+// Guards against a refusal without a retry time by a single VM that knows no endpoint.
+func TestSingleVMWithoutListReturnsRetryTime(t *testing.T) {
 	is := is.New(t)
-	d := upWith(t, judge.New(), func(s *Shape) { s.Domains, s.VMs = 1, 1 })
-	v := restarted(t, d, 0, 2*time.Second)
+	d := startWith(t, judge.New(), func(s *Shape) { s.Domains, s.VMs = 1, 1 })
+	v := restart(t, d, 0, 2*time.Second)
 	for !inForce(v) {
 		time.Sleep(10 * time.Millisecond)
 	}
 	c := winch.NewClient(v.Settings.Caller, "demo-crew")
 	began := time.Now()
-	a, err := c.Submit(t.Context(), page(3*time.Second))
+	a, err := c.Submit(t.Context(), shortJob(3*time.Second))
 	is.NoErr(err)
 	is.Equal(a.Outcome, winch.Refused)
 	is.True(time.Since(began) < time.Second) // at once
@@ -147,7 +146,7 @@
 	return resp.StatusCode, out
 }
 
-// tasks writes n tasks as JSON.
+// tasks returns n tasks as JSON, without the brackets of the list.
 func tasks(job string, n int, run time.Duration) string {
 	list := make([]string, n)
 	for i := range list {
@@ -158,7 +157,7 @@
 
 func TestBadInputIsRefusedAndStartsNothing(t *testing.T) {
 	j := judge.New()
-	d := up(t, j)
+	d := start(t, j)
 	const key = "demo-crew"
 	cases := []struct {
 		name, path, key, body string
@@ -192,22 +191,22 @@
 			code, out := post(t, d, c.path, c.key, strings.NewReader(c.body))
 			is.Equal(out["outcome"], "refused")
 			is.Equal(code, c.code)
-			is.True(strings.Contains(fmt.Sprint(out["detail"]), c.says)) // the detail names what to mend
+			is.True(strings.Contains(fmt.Sprint(out["detail"]), c.says)) // the detail names the fault
 		})
 	}
 	if v := j.Verdict(); v.Jobs > 0 {
-		t.Errorf("something started: %+v", v)
+		t.Errorf("tasks were started: %+v", v)
 	}
 	if n := d.VMs[0].Daemon.Node().Active(); n > 0 {
-		t.Errorf("%d jobs are left in progress here", n)
+		t.Errorf("%d jobs are still in progress on the VM", n)
 	}
 }
 
-// Symptom: the library's limit cuts the connection without a word. Sequence: a
-// caller sends more than any document may allow. Cause: no answer for it.
+// Guards against a caller whose connection the HTTP library closes without an answer when
+// the body is larger than any document may allow.
 func TestHugeBodyIsAnswered(t *testing.T) {
 	is := is.New(t)
-	d := up(t, judge.New())
+	d := start(t, judge.New())
 	c, err := net.Dial("tcp", d.VMs[0].Settings.Caller.String())
 	is.NoErr(err)
 	defer func() { _ = c.Close() }()
@@ -219,13 +218,13 @@
 	is.True(bytes.Contains(buf, []byte(`"outcome":"refused"`)))
 }
 
-// Symptom: a caller that is gone keeps its place, and its tasks take slots.
-// Sequence: all slots are held, a caller submits and hangs up, slots come free.
-// Cause: nobody looks at the connection while the request waits.
-func TestHangupCancelsWhatWaits(t *testing.T) {
+// Guards against tasks that start for a caller that is gone: all slots are held, a caller
+// submits and disconnects, slots become free, and the connection was not checked while
+// the job waited.
+func TestDisconnectCancelsWaitingJob(t *testing.T) {
 	is := is.New(t)
 	j := judge.New()
-	d := up(t, j)
+	d := start(t, j)
 	slots := 6 * 8
 	var wg sync.WaitGroup
 	for i, v := range d.VMs {
@@ -248,7 +247,7 @@
 		time.Sleep(200 * time.Millisecond)
 		cancel()
 	}()
-	_, err = http.DefaultClient.Do(req) //nolint:bodyclose // it fails
+	_, err = http.DefaultClient.Do(req) //nolint:bodyclose // the request fails
 	is.True(err != nil)
 	wg.Wait()
 	time.Sleep(200 * time.Millisecond)
@@ -256,13 +255,13 @@
 	is.Equal(j.Starts("gone"), 0)
 }
 
-// Symptom: requests are cut or lost when a VM is replaced. Sequence: a VM gets
-// SIGTERM under load, while the balancer still sends. Cause: it stops listening, or
-// drops what it holds.
-func TestLeavingVMCutsNothing(t *testing.T) {
+// Guards against requests lost when a VM is replaced: it shuts down under load, as on
+// SIGTERM, while the load balancer still sends callers, and stops listening too early or
+// drops jobs in progress.
+func TestLeavingVMLosesNoJob(t *testing.T) {
 	is := is.New(t)
 	j := judge.New()
-	d := up(t, j)
+	d := start(t, j)
 	m := mix.Paper()
 	for i := range m.Kinds {
 		m.Kinds[i].Key = "demo-" + m.Kinds[i].Tenant
@@ -288,7 +287,7 @@
 func TestTicketsOverTheWire(t *testing.T) {
 	is := is.New(t)
 	j := judge.New()
-	d := up(t, j)
+	d := start(t, j)
 	a := winch.NewClient(d.VMs[0].Settings.Caller, "demo-crew")
 	b := winch.NewClient(d.VMs[3].Settings.Caller, "demo-crew")
 	ts, err := a.Tickets(t.Context(), 3)
@@ -307,7 +306,7 @@
 	wg.Wait()
 	is.Equal(j.Verdict().Twice, 0)
 	is.Equal(b.Ask(t.Context(), ts[0]).Outcome, winch.Done)
-	is.Equal(b.Ask(t.Context(), ts[1]).Outcome, winch.Refused) // and used up
+	is.Equal(b.Ask(t.Context(), ts[1]).Outcome, winch.Refused) // asking used it up
 	job.Ticket = ts[1]
 	ans, err := a.Submit(t.Context(), job)
 	is.NoErr(err)
--- a/internal/tool/local/operator_test.go
+++ b/internal/tool/local/operator_test.go
@@ -27,7 +27,7 @@
 
 func operators(s *Shape) { s.Operators = map[string]string{"ana": doc.Hash(operatorKey)} }
 
-// browse does what a phone's browser does, without scripts.
+// browse sends a request as a phone's browser without scripts does.
 func browse(t *testing.T, d *Deployment, method, path string, form url.Values, head ...string) (int, string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, "http://"+d.VMs[1].Settings.Operator.String()+path, strings.NewReader(form.Encode()))
@@ -53,11 +53,12 @@
 	return resp.StatusCode, string(text)
 }
 
+// hidden matches the hidden inputs of the confirmation form.
 var hidden = regexp.MustCompile(`(?s)name="(base|doc)" value="(.*?)"`)
 
-func TestConsoleFromFormToInForce(t *testing.T) {
+func TestConsoleChangeComesIntoForce(t *testing.T) {
 	is := is.New(t)
-	d := upWith(t, judge.New(), operators)
+	d := startWith(t, judge.New(), operators)
 	code, text := browse(t, d, http.MethodGet, "/", nil)
 	is.Equal(code, 200)
 	is.True(strings.Contains(text, "Revision 1 is in force on all 4 VMs."))
@@ -82,7 +83,7 @@
 	is.True(strings.Contains(text, "Lost: ana was first, with revision 2."))
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	is.NoErr(d.InForce(ctx, 2))
+	is.NoErr(d.AwaitRevision(ctx, 2))
 	_, text = browse(t, d, http.MethodGet, "/history", nil, "Accept", "text/html")
 	is.True(strings.Contains(text, "Revision 2 by ana: more crews"))
 	code, text = browse(t, d, http.MethodPost, "/back", url.Values{"rev": {"1"}})
@@ -90,12 +91,12 @@
 	is.True(strings.Contains(html.UnescapeString(text), "~ tenants.crew.weight 5 -> 1"))
 }
 
-// Symptom: somebody without a key changes the service, or another operator's name is
-// in the record. Sequence: a wrong, a missing or another's key. Cause: the name is
-// taken from what is sent rather than from the key.
-func TestOperatorsWithoutKeyDoNothing(t *testing.T) {
+// Guards against changes without a valid key (a wrong, a missing or another operator's
+// one), and against a recorded author that is taken from the request rather than from the
+// key.
+func TestOperatorWithoutKeyChangesNothing(t *testing.T) {
 	is := is.New(t)
-	d := upWith(t, judge.New(), operators)
+	d := startWith(t, judge.New(), operators)
 	at := "http://" + d.VMs[0].Settings.Operator.String()
 	for _, c := range []struct {
 		name, key string
@@ -110,7 +111,7 @@
 		resp, err := http.DefaultClient.Do(req)
 		is.NoErr(err)
 		is.NoErr(resp.Body.Close())
-		is.Equal(resp.StatusCode, c.code) // the right key only loses the race on base 7
+		is.Equal(resp.StatusCode, c.code) // the right key fails only because base 7 is not current
 	}
 	for _, path := range []string{"/health", "/ready", "/metrics"} {
 		resp, err := http.Get(at + path) //nolint:noctx // a probe
@@ -131,8 +132,8 @@
 	return text
 }
 
-// Entry VMs with mutual TLS between them and rotated certificates: links stay, new
-// ones use what was rotated in.
+// Checks that mutual TLS links between VMs survive a rotation of certificates, and that
+// new connections use the new ones.
 func TestMutualTLSBetweenVMsAndRotation(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
@@ -141,19 +142,19 @@
 	f, err := a.Make(dir, time.Hour, netip.MustParseAddr("127.0.0.1"))
 	is.NoErr(err)
 	j := judge.New()
-	d := upWith(t, j, func(s *Shape) {
+	d := startWith(t, j, func(s *Shape) {
 		s.TLS = setup.TLS{Cert: f.Cert, Key: f.Key, Authority: f.Authority, Mesh: true}
 	})
 	_, err = a.Make(dir, time.Hour, netip.MustParseAddr("127.0.0.1"))
 	is.NoErr(err)
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	is.NoErr(d.Joined(ctx))
+	is.NoErr(d.AwaitMembers(ctx))
 	c := winch.NewClient(d.VMs[0].Settings.Caller, "demo-crew")
 	ts, err := c.Tickets(ctx, 1)
 	is.NoErr(err)
 	j.Submit("tls", 1)
-	b := winch.NewClient(d.VMs[3].Settings.Caller, "demo-crew") // hands it over a TLS link
+	b := winch.NewClient(d.VMs[3].Settings.Caller, "demo-crew") // hands the job over a TLS link
 	ans, err := b.Submit(ctx, winch.Job{Class: "topup", Ticket: ts[0], Tasks: []winch.Task{{Body: fakes.Task{Job: "tls"}}}})
 	is.NoErr(err)
 	is.Equal(ans.Outcome, winch.Done)
