--- a/internal/tool/bench/bound_test.go
+++ b/internal/tool/bench/bound_test.go
@@ -2,5 +2,5 @@
 
 package bench
 
-// bound of an entry VM's processor time a task over a bare pair's.
-const bound = 2.5
+// maxRatio is the limit of an entry VM's CPU time per task over the bare pair's.
+const maxRatio = 2.5
--- a/internal/tool/bench/control.go
+++ b/internal/tool/bench/control.go
@@ -23,20 +23,20 @@
 	"dahliawinch/internal/tool/mix"
 )
 
-// Control is what one daemon spends on control at a size of the deployment.
+// Control is the control traffic, CPU and memory of one daemon at a deployment size.
 type Control struct {
 	VMs       int     `json:"vms"`
 	Domains   int     `json:"domains"`
-	Endpoints int     `json:"endpoints"` // of the own failure domain
-	Near      int     `json:"near"`      // peers of the own failure domain
-	Far       int     `json:"far"`       // links to other domains, both ways of choosing
-	Out       float64 `json:"out"`       // bytes a second sent
-	In        float64 `json:"in"`        // bytes a second received
-	CPU       float64 `json:"cpu"`       // percent of a core, coding and TCP of both ways reckoned by message
-	Memory    float64 `json:"memory"`    // bytes of heap that the view, table and book of the size take
+	Endpoints int     `json:"endpoints"` // in the daemon's failure domain
+	Near      int     `json:"near"`      // peers in the daemon's failure domain
+	Far       int     `json:"far"`       // links to other domains, chosen by either end
+	Out       float64 `json:"out"`       // bytes sent per second
+	In        float64 `json:"in"`        // bytes received per second
+	CPU       float64 `json:"cpu"`       // percent of a core; TCP cost is estimated per message, sent or received
+	Memory    float64 `json:"memory"`    // heap bytes of the member view, endpoint table and endpoint records
 }
 
-// sink counts what a node sends and drops it.
+// sink counts a node's messages and drops them.
 type sink struct {
 	mu    sync.Mutex
 	bytes int
@@ -56,7 +56,7 @@
 // Reach implements flow.Mesh.
 func (*sink) Reach(context.Context, netip.AddrPort) (uint64, error) { return 0, flow.ErrNoLink }
 
-// idleRunner has endpoints that always answer a probe.
+// idleRunner runs no tasks; its endpoints answer every probe.
 type idleRunner struct{}
 
 // Run implements flow.Runner.
@@ -67,14 +67,14 @@
 // Ask implements flow.Runner.
 func (idleRunner) Ask(context.Context, netip.AddrPort) (bool, error) { return false, nil }
 
-// controlSpan is how long each size is measured.
+// controlSpan is the length of the measurement of each size.
 const controlSpan = 4 * time.Second
 
-// tcpHead is what IP and TCP with timestamps add to a message.
-const tcpHead = 52
+// tcpHeader is the bytes that IP and TCP with timestamps add to a message.
+const tcpHeader = 52
 
-// MeasureControl runs one node among stand-in peers that send it heartbeats as real
-// ones do, and counts bytes and processor time.
+// MeasureControl runs one node with simulated peers that send heartbeats as real ones
+// do, and measures its traffic, CPU time and memory.
 func MeasureControl(ctx context.Context, vms, domains, endpoints int) (Control, error) {
 	before := liveHeap()
 	c := Control{VMs: vms, Domains: domains}
@@ -111,7 +111,7 @@
 	}
 	go timers.Run(ctx)
 	n.Start()
-	in := speak(ctx, n, list.VMs, &c)
+	in := sendBeats(ctx, n, list.VMs, &c)
 	time.Sleep(time.Second)
 	out.mu.Lock()
 	bytes0, msgs0 := out.bytes, out.msgs
@@ -119,17 +119,17 @@
 	in.mu.Lock()
 	inBytes0, inMsgs0 := in.bytes, in.msgs
 	in.mu.Unlock()
-	cpu0 := spent()
+	cpu0 := cpuTime()
 	time.Sleep(controlSpan)
-	cpu := spent() - cpu0
+	cpu := cpuTime() - cpu0
 	out.mu.Lock()
 	sent, sentMsgs := out.bytes-bytes0, out.msgs-msgs0
 	out.mu.Unlock()
 	in.mu.Lock()
 	got, gotMsgs := in.bytes-inBytes0, in.msgs-inMsgs0
 	in.mu.Unlock()
-	c.Out = float64(sent+sentMsgs*tcpHead) / controlSpan.Seconds()
-	c.In = float64(got+gotMsgs*tcpHead) / controlSpan.Seconds()
+	c.Out = float64(sent+sentMsgs*tcpHeader) / controlSpan.Seconds()
+	c.In = float64(got+gotMsgs*tcpHeader) / controlSpan.Seconds()
 	perMessage, err := messageCost()
 	if err != nil {
 		return c, err
@@ -142,9 +142,9 @@
 	return c, nil
 }
 
-// speak sends the node heartbeats of the peers that keep links to it. Decoding is
-// done here as a daemon does it, so that its processor time counts.
-func speak(ctx context.Context, n *flow.Node, vms []roster.VM, c *Control) *sink {
+// sendBeats sends the node heartbeats of the peers that keep links to it. It decodes them
+// as a daemon does, so that the CPU time of decoding counts.
+func sendBeats(ctx context.Context, n *flow.Node, vms []roster.VM, c *Control) *sink {
 	in := &sink{}
 	var near, far []frame.Hello
 	picked := map[netip.AddrPort]bool{}
@@ -159,7 +159,7 @@
 		case v.Domain == "fd-0":
 			near = append(near, h)
 		case picked[v.Mesh] || len(far) < 2*view.FarLinks:
-			far = append(far, h) // about as many choose this VM as it chooses
+			far = append(far, h) // about as many peers choose this VM as it chooses
 		}
 	}
 	c.Near, c.Far = len(near), len(far)
@@ -194,20 +194,20 @@
 	return in
 }
 
-// messageCost is the processor time of writing one heartbeat to a loopback connection
-// and reading it at the other end; a daemon pays one of the two ends.
+// messageCost returns the CPU time to write one heartbeat to a loopback connection and
+// read it at the other end. A daemon has the cost of only one end per message.
 func messageCost() (time.Duration, error) {
 	const messages = 20_000
 	data, err := frame.Append(nil, &frame.Beat{At: time.Now()})
 	if err != nil {
 		return 0, fmt.Errorf("measure message: %w", err)
 	}
-	a, b, err := pair()
+	a, b, err := connPair()
 	if err != nil {
 		return 0, err
 	}
 	defer func() { _, _ = a.Close(), b.Close() }()
-	cpu0 := spent()
+	cpu0 := cpuTime()
 	done := make(chan error, 1)
 	go func() {
 		buf := make([]byte, len(data))
@@ -227,10 +227,10 @@
 	if err := <-done; err != nil {
 		return 0, fmt.Errorf("measure message: %w", err)
 	}
-	return (spent() - cpu0) / messages, nil
+	return (cpuTime() - cpu0) / messages, nil
 }
 
-// liveHeap is what is reachable now.
+// liveHeap returns the bytes of reachable heap objects.
 func liveHeap() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -239,8 +239,8 @@
 	return float64(m.HeapAlloc)
 }
 
-// Size of a deployment.
+// Size is the size of a deployment.
 type Size struct{ VMs, Domains, Endpoints int }
 
-// Sizes that bench control measures: today's, and steps to the target.
+// Sizes are those that bench control measures: today's, then steps to the target.
 var Sizes = []Size{{8, 4, 50}, {24, 4, 200}, {45, 15, 2_000}, {135, 45, 23_000}, {225, 45, 23_000}, {400, 45, 23_000}}
--- a/internal/tool/bench/net.go
+++ b/internal/tool/bench/net.go
@@ -6,8 +6,8 @@
 	"net"
 )
 
-// pair returns the two ends of a connection over loopback.
-func pair() (a, b net.Conn, err error) {
+// connPair returns the two ends of a TCP connection over loopback.
+func connPair() (a, b net.Conn, err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, nil, fmt.Errorf("pair: %w", err)
--- a/internal/tool/bench/wire.go
+++ b/internal/tool/bench/wire.go
@@ -1,5 +1,5 @@
-// Package bench measures: tables of scenarios in virtual time, and what a task
-// costs over real sockets.
+// Package bench measures the cost of a task over real sockets and the control overhead
+// of a daemon at several deployment sizes.
 package bench
 
 import (
@@ -23,32 +23,32 @@
 	"dahliawinch/winch"
 )
 
-// Wire is what a task costs over real sockets, beside a bare pair of HTTP client
+// Wire is the cost of a task over real sockets, compared with a bare pair of HTTP client
 // and server that does the same exchanges.
 type Wire struct {
 	Tasks   int     `json:"tasks"`
 	Jobs    int     `json:"jobs"`
-	Starts  float64 `json:"starts"`  // tasks per second through one entry VM
-	Entry   float64 `json:"entry"`   // microseconds of processor time a task, all ends
+	Starts  float64 `json:"starts"`  // tasks started per second through one entry VM
+	Entry   float64 `json:"entry"`   // microseconds of CPU time per task, of caller, entry VM and endpoint
 	Bare    float64 `json:"bare"`    // the same for the bare pair
 	Ratio   float64 `json:"ratio"`   // entry over bare
-	Added   float64 `json:"added"`   // milliseconds that a task takes longer than it runs, median
+	Added   float64 `json:"added"`   // milliseconds of latency over a task's run time, median
 	Added99 float64 `json:"added99"` // the same, 99th percentile
-	Held    float64 `json:"held"`    // bytes of memory for each queued job of 16 tasks
+	Held    float64 `json:"held"`    // bytes of memory per queued job of 16 tasks
 }
 
-// Shape of the measurement.
+// Size of the measurement.
 const (
-	wireSlots   = 8
-	wireHosts   = 50
-	wireJobs    = 2000
-	wireTasks   = 16 // of a job
-	wireCallers = 24
+	wireSlots     = 8  // of an endpoint
+	wireEndpoints = 50 // endpoints
+	wireJobs      = 2000
+	wireTasks     = 16 // per job
+	wireCallers   = 24
 )
 
 var errNotDone = errors.New("a job was not done")
 
-func undone(a winch.Answer) error {
+func notDone(a winch.Answer) error {
 	if a.Outcome == winch.Done {
 		return nil
 	}
@@ -59,8 +59,8 @@
 // exchanges through a bare client and server.
 func MeasureWire(ctx context.Context) (w Wire, err error) {
 	shape := local.Brief()
-	shape.Domains, shape.VMs, shape.Endpoints, shape.Slots = 1, 1, wireHosts, wireSlots
-	d, err := local.Start(ctx, shape, nobody{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	shape.Domains, shape.VMs, shape.Endpoints, shape.Slots = 1, 1, wireEndpoints, wireSlots
+	d, err := local.Start(ctx, shape, noWitness{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		return w, fmt.Errorf("measure: %w", err)
 	}
@@ -69,37 +69,37 @@
 		return w, fmt.Errorf("measure: %w", err)
 	}
 	client := winch.NewClient(d.VMs[0].Settings.Caller, "demo-crew")
-	if _, _, err := drive(ctx, client, wireJobs/4); err != nil { // warm
+	if _, _, err := runJobs(ctx, client, wireJobs/4); err != nil { // warm up
 		return w, err
 	}
-	cpu, took, err := drive(ctx, client, wireJobs)
+	cpu, took, err := runJobs(ctx, client, wireJobs)
 	if err != nil {
 		return w, err
 	}
 	w.Jobs, w.Tasks = wireJobs, wireJobs*wireTasks
-	w.Entry = us(cpu) / float64(w.Tasks)
+	w.Entry = micros(cpu) / float64(w.Tasks)
 	w.Starts = float64(w.Tasks) / took.Seconds()
-	bare, err := driveBare(ctx)
+	bare, err := runBare(ctx)
 	if err != nil {
 		return w, err
 	}
-	w.Bare = us(bare) / float64(w.Tasks)
+	w.Bare = micros(bare) / float64(w.Tasks)
 	w.Ratio = w.Entry / w.Bare
-	if w.Added, w.Added99, err = added(ctx, client); err != nil {
+	if w.Added, w.Added99, err = addedLatency(ctx, client); err != nil {
 		return w, err
 	}
-	w.Held, err = held(ctx, client)
+	w.Held, err = queuedMemory(ctx, client)
 	return w, err
 }
 
-type nobody struct{}
+type noWitness struct{}
 
-func (nobody) Started(string, int) {}
+func (noWitness) Started(string, int) {}
 
-func us(d time.Duration) float64 { return float64(d) / float64(time.Microsecond) }
+func micros(d time.Duration) float64 { return float64(d) / float64(time.Microsecond) }
 
-// spent is the processor time of this process.
-func spent() time.Duration {
+// cpuTime returns the CPU time of this process so far.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -107,7 +107,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-func empty(n int) winch.Job {
+// emptyJob returns a job of n tasks without run time.
+func emptyJob(n int) winch.Job {
 	j := winch.Job{Class: "render", Kind: "empty"}
 	for i := range n {
 		j.Tasks = append(j.Tasks, winch.Task{Body: fakes.Task{Job: "bench", Task: i}})
@@ -115,17 +116,17 @@
 	return j
 }
 
-// drive sends jobs from several callers and returns processor and elapsed time.
-func drive(ctx context.Context, c *winch.Client, jobs int) (cpu, took time.Duration, err error) {
+// runJobs submits jobs from several callers and returns CPU time and elapsed time.
+func runJobs(ctx context.Context, c *winch.Client, jobs int) (cpu, took time.Duration, err error) {
 	var wg sync.WaitGroup
 	errs := make(chan error, wireCallers)
-	cpu0, began := spent(), time.Now()
+	cpu0, began := cpuTime(), time.Now()
 	for range wireCallers {
 		wg.Go(func() {
-			job := empty(wireTasks)
+			job := emptyJob(wireTasks)
 			for range jobs / wireCallers {
 				a, err := c.Submit(ctx, job)
-				if err = errors.Join(err, undone(a)); err != nil {
+				if err = errors.Join(err, notDone(a)); err != nil {
 					errs <- err
 					return
 				}
@@ -134,12 +135,12 @@
 	}
 	wg.Wait()
 	close(errs)
-	return spent() - cpu0, time.Since(began), <-errs
+	return cpuTime() - cpu0, time.Since(began), <-errs
 }
 
-// driveBare does as many exchanges with bodies of the same size: one for each task
-// and one for each job.
-func driveBare(ctx context.Context) (time.Duration, error) {
+// runBare does as many exchanges with bodies of the same size, one for each task and one
+// for each job, and returns the CPU time.
+func runBare(ctx context.Context) (time.Duration, error) {
 	e := fakes.Task{Job: "bench"}.Encode()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -147,14 +148,14 @@
 	}
 	s := &fasthttp.Server{Handler: func(c *fasthttp.RequestCtx) { c.SetBody(e) }}
 	go func() { _ = s.Serve(l) }()
-	defer s.ShutdownWithContext(ctx) //nolint:errcheck // it served its purpose
+	defer s.ShutdownWithContext(ctx) //nolint:errcheck // the measurement is over
 	client := &fasthttp.Client{MaxConnsPerHost: 4096}
 	url := "http://" + l.Addr().String() + "/run"
 	var large []byte
 	for range wireTasks {
 		large = append(large, e...)
 	}
-	one := func(body []byte) error {
+	exchange := func(body []byte) error {
 		req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 		defer fasthttp.ReleaseRequest(req)
 		defer fasthttp.ReleaseResponse(resp)
@@ -168,18 +169,18 @@
 	}
 	var wg sync.WaitGroup
 	errs := make(chan error, wireCallers)
-	cpu0 := spent()
+	cpu0 := cpuTime()
 	for range wireCallers {
 		wg.Go(func() {
 			for range wireJobs / wireCallers {
-				if err := one(large); err != nil {
+				if err := exchange(large); err != nil {
 					errs <- err
 					return
 				}
 				var tasks sync.WaitGroup
 				for range wireTasks {
 					tasks.Go(func() {
-						if err := one(e); err != nil {
+						if err := exchange(e); err != nil {
 							select {
 							case errs <- err:
 							default:
@@ -193,13 +194,13 @@
 	}
 	wg.Wait()
 	close(errs)
-	return spent() - cpu0, <-errs
+	return cpuTime() - cpu0, <-errs
 }
 
-// added measures how much longer than its run a job of one task takes, with the
-// slots half used.
-func added(ctx context.Context, c *winch.Client) (p50, p99 float64, err error) {
-	const run, callers, each = 20 * time.Millisecond, wireHosts * wireSlots / 2, 20
+// addedLatency measures the latency of jobs of one task over the task's run time, in
+// milliseconds, with half of the slots in use.
+func addedLatency(ctx context.Context, c *winch.Client) (p50, p99 float64, err error) {
+	const run, callers, each = 20 * time.Millisecond, wireEndpoints * wireSlots / 2, 20
 	h := hdrhistogram.New(1, 10_000_000, 3)
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -212,8 +213,8 @@
 				a, e := c.Submit(ctx, job)
 				took := time.Since(began) - run
 				mu.Lock()
-				err = errors.Join(err, e, undone(a))
-				_ = h.RecordValue(took.Microseconds()) // out of range: at the top
+				err = errors.Join(err, e, notDone(a))
+				_ = h.RecordValue(took.Microseconds()) // the error is a value out of range, which is left out
 				mu.Unlock()
 			}
 		})
@@ -222,13 +223,13 @@
 	return float64(h.ValueAtQuantile(50)) / 1000, float64(h.ValueAtQuantile(99)) / 1000, err
 }
 
-// held measures the memory that jobs take which wait for slots.
-func held(ctx context.Context, c *winch.Client) (float64, error) {
+// queuedMemory returns the memory per job that waits for slots, in bytes.
+func queuedMemory(ctx context.Context, c *winch.Client) (float64, error) {
 	const jobs = 400
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	hold := winch.Job{Class: "render", Kind: "hold"}
-	for i := range wireHosts * wireSlots {
+	for i := range wireEndpoints * wireSlots {
 		hold.Tasks = append(hold.Tasks, winch.Task{Body: fakes.Task{Job: "bench", Task: i, Run: 3e9}})
 	}
 	var wg sync.WaitGroup
@@ -238,22 +239,22 @@
 		a, e := c.Submit(ctx, j)
 		mu.Lock()
 		defer mu.Unlock()
-		err = errors.Join(err, e, undone(a))
+		err = errors.Join(err, e, notDone(a))
 	}
 	wg.Go(func() { submit(hold) })
 	time.Sleep(500 * time.Millisecond)
-	before := heap()
+	before := memoryInUse()
 	for range jobs {
-		wg.Go(func() { submit(empty(wireTasks)) })
+		wg.Go(func() { submit(emptyJob(wireTasks)) })
 	}
 	time.Sleep(time.Second)
-	after := heap()
+	after := memoryInUse()
 	wg.Wait()
 	return (after - before) / jobs, err
 }
 
-// heap is the memory in use, goroutine stacks included.
-func heap() float64 {
+// memoryInUse returns the bytes of heap and goroutine stacks in use.
+func memoryInUse() float64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/tool/bench/wire_test.go
+++ b/internal/tool/bench/wire_test.go
@@ -6,13 +6,13 @@
 	"github.com/matryer/is"
 )
 
-// The bound is a ratio of processor times in the same process and run; bound depends
-// on whether the race detector is built in.
-func TestCostOfATask(t *testing.T) {
+// Guards against a rise of the CPU time per task. It compares with a bare pair in the
+// same process; maxRatio depends on whether the race detector is on.
+func TestCPUTimePerTask(t *testing.T) {
 	const tries = 3
 	is := is.New(t)
 	best := 0.0
-	for range tries { // a busy machine only adds
+	for range tries { // load on the machine can only raise the ratio
 		w, err := MeasureWire(t.Context())
 		is.NoErr(err)
 		t.Logf("%+v", w)
@@ -20,9 +20,9 @@
 		if best == 0 || w.Ratio < best {
 			best = w.Ratio
 		}
-		if best <= bound {
+		if best <= maxRatio {
 			return
 		}
 	}
-	t.Errorf("%.2f times the processor time of a bare pair", best)
+	t.Errorf("%.2f times the CPU time of a bare pair", best)
 }
