--- a/internal/base/meter/meter.go
+++ b/internal/base/meter/meter.go
@@ -94,22 +94,22 @@
 }
 
 // AddWasted counts n wasted messages.
-func (m *Meter) Waste(c Cause, n int) { m.wasted[c].Add(int64(n)) }
+func (m *Meter) AddWasted(c Cause, n int) { m.wasted[c].Add(int64(n)) }
 
 // Wasted returns the wasted messages of one cause.
 func (m *Meter) Wasted(c Cause) int64 { return m.wasted[c].Load() }
 
 // AddStart counts an attempt that was sent.
-func (m *Meter) Start() { m.starts.Add(1) }
+func (m *Meter) AddStart() { m.starts.Add(1) }
 
 // Starts returns how many attempts were sent.
 func (m *Meter) Starts() int64 { return m.starts.Load() }
 
 // ObserveOutlived records how long after its job's last keepalive the last run ended.
-func (m *Meter) Outlived(d time.Duration) { m.outlived.Observe(d.Seconds()) }
+func (m *Meter) ObserveOutlived(d time.Duration) { m.outlived.Observe(d.Seconds()) }
 
 // AddControlBytes counts bytes between entry VMs; way is their direction.
-func (m *Meter) Control(purpose, way string, n int) {
+func (m *Meter) AddControlBytes(purpose, way string, n int) {
 	m.control.WithLabelValues(purpose, way).Add(float64(n))
 }
 
@@ -119,14 +119,14 @@
 }
 
 // ObserveTask records one finished task.
-func (m *Meter) Ran(tenant, class string, wait, run time.Duration) {
+func (m *Meter) ObserveTask(tenant, class string, wait, run time.Duration) {
 	tenant = m.tenantLabel(tenant)
 	m.wait.WithLabelValues(tenant, class).Observe(wait.Seconds())
 	m.run.WithLabelValues(tenant, class).Observe(run.Seconds())
 }
 
 // ObserveJob records one answered job; longest is the run time of its longest task.
-func (m *Meter) Answered(tenant, class string, a *job.Answer, took, longest time.Duration) {
+func (m *Meter) ObserveJob(tenant, class string, a *job.Answer, took, longest time.Duration) {
 	tenant = m.tenantLabel(tenant)
 	m.outcomes.WithLabelValues(tenant, class, a.Outcome.String(), string(a.Reason)).Inc()
 	if a.Outcome != job.Done {
--- a/internal/base/pace/pace.go
+++ b/internal/base/pace/pace.go
@@ -43,7 +43,7 @@
 // job takes eight times as long as a lone one. It is taken for lost and sent again on a new
 // connection, which fills the link; the VM probes its endpoints five times as often, and they
 // seem silent. The symptom is bursts of unanswered calls without any fault of an endpoint.
-type Pace struct {
+type Estimator struct {
 	minTimeout, maxTimeout time.Duration
 
 	mu         sync.Mutex
@@ -86,14 +86,14 @@
 }
 
 // New returns an estimator whose time-outs stay between two bounds.
-func New(minTimeout, maxTimeout time.Duration) *Pace {
-	return &Pace{minTimeout: minTimeout, maxTimeout: maxTimeout, backoff: 1}
+func New(minTimeout, maxTimeout time.Duration) *Estimator {
+	return &Estimator{minTimeout: minTimeout, maxTimeout: maxTimeout, backoff: 1}
 }
 
 // RecordTimeout records that a call sent at the given time timed out. If another call was
 // answered since, the VM and its links are fast and this call is lost: a longer time-out
 // would only delay noticing the next loss.
-func (p *Pace) Miss(sent time.Time) {
+func (p *Estimator) RecordTimeout(sent time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.missRate += meanGain * (1 - p.missRate)
@@ -106,7 +106,7 @@
 }
 
 // RecordAnswer records an answer to a call whose duration is not comparable with the others.
-func (p *Pace) Heard(now time.Time) {
+func (p *Estimator) RecordAnswer(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lastAnswer, p.streak = now, 0
@@ -118,7 +118,7 @@
 // Counting each call as it is sent fails: the calls of one job go out in any order, so a call counted
 // early that waits for the link behind the others has the short time-out of an early place. It is taken
 // for lost while in flight, and narrow links show unanswered calls.
-func (p *Pace) Begin(calls int) (timeout time.Duration) {
+func (p *Estimator) Begin(calls int) (timeout time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.inFlight += calls
@@ -129,7 +129,7 @@
 //
 // Places in the order of Begin fail: the calls of one job reach the link in any order, so a late place
 // seems to cost no time, and the calls of the first large job are taken for lost.
-func (p *Pace) Send() (place int) {
+func (p *Estimator) Send() (place int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sent++
@@ -137,7 +137,7 @@
 }
 
 // End records that a call is no longer in flight.
-func (p *Pace) End() {
+func (p *Estimator) End() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.inFlight--
@@ -145,7 +145,7 @@
 }
 
 // Observe records when a call was answered, how long it took, and its place from Send.
-func (p *Pace) Note(now time.Time, took time.Duration, place int) {
+func (p *Estimator) Observe(now time.Time, took time.Duration, place int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lastAnswer, p.streak = now, 0
@@ -161,14 +161,14 @@
 }
 
 // MeanTime returns the recent mean call time, whatever the load.
-func (p *Pace) Usual() time.Duration {
+func (p *Estimator) MeanTime() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.load.meanTime
 }
 
 // Expect returns the expected time of the last of the given calls if they are sent now.
-func (p *Pace) Expect(calls int) time.Duration {
+func (p *Estimator) Expect(calls int) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.expect(p.inFlight + calls)
@@ -176,20 +176,20 @@
 
 // expect returns the expected time of a call with inFlight calls in flight. Fewer than the mean do
 // not shorten it: a time-out that is too short costs more than one that is too long.
-func (p *Pace) expect(inFlight int) time.Duration {
+func (p *Estimator) expect(inFlight int) time.Duration {
 	return p.mean + time.Duration(max(0, float64(inFlight)-p.load.meanLoad)*float64(p.load.perCall()))
 }
 
 // Timeout returns the time-out of the next call. A fixed one fails in one of two ways: a long
 // one delays work whose call was lost; with a short one, a VM that is slow for a moment takes
 // all its calls for lost, repeats them, and stays slow.
-func (p *Pace) Timeout() time.Duration {
+func (p *Estimator) Timeout() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.timeout(p.inFlight + 1)
 }
 
-func (p *Pace) timeout(inFlight int) time.Duration {
+func (p *Estimator) timeout(inFlight int) time.Duration {
 	expected := p.expect(inFlight)
 	t := max(p.minTimeout, expectFactor*expected, expected+devFactor*p.dev)
 	if p.load.samples < warmupSamples {
--- a/internal/base/pace/pace_test.go
+++ b/internal/base/pace/pace_test.go
@@ -16,19 +16,19 @@
 	now := time.Unix(1_700_000_000, 0)
 	p := New(60*time.Millisecond, 400*time.Millisecond)
 	for range 50 {
-		p.Note(now, 4*time.Millisecond, 1)
+		p.Observe(now, 4*time.Millisecond, 1)
 	}
 	is.Equal(p.Timeout(), 60*time.Millisecond)
 	for range 10 {
-		p.Miss(now)
+		p.RecordTimeout(now)
 	}
 	is.True(p.Timeout() > 120*time.Millisecond)
 	for range 50 {
-		p.Note(now, time.Second, 1)
+		p.Observe(now, time.Second, 1)
 	}
 	is.Equal(p.Timeout(), 400*time.Millisecond)
 	for range 80 {
-		p.Note(now, 4*time.Millisecond, 1)
+		p.Observe(now, 4*time.Millisecond, 1)
 	}
 	is.Equal(p.Timeout(), 60*time.Millisecond)
 }
@@ -40,10 +40,10 @@
 	p := New(60*time.Millisecond, 400*time.Millisecond)
 	for i := range 400 {
 		if i%18 == 17 {
-			p.Miss(now)
+			p.RecordTimeout(now)
 			continue
 		}
-		p.Note(now, 4*time.Millisecond, 1)
+		p.Observe(now, 4*time.Millisecond, 1)
 	}
 	is.Equal(p.Timeout(), 60*time.Millisecond)
 }
@@ -63,10 +63,10 @@
 			lost += r.IntN(2)
 		}
 		for range 8 - lost {
-			p.Note(now.Add(4*time.Millisecond), 4*time.Millisecond, 1)
+			p.Observe(now.Add(4*time.Millisecond), 4*time.Millisecond, 1)
 		}
 		for range lost {
-			p.Miss(now)
+			p.RecordTimeout(now)
 		}
 		now = now.Add(50 * time.Millisecond)
 		sum += p.Timeout()
@@ -79,7 +79,7 @@
 type slowLink struct{ perCall, base time.Duration }
 
 // runJob sends calls at once and counts those that time out though they would be answered.
-func (l slowLink) runJob(p *Pace, now time.Time, calls int) (lost int) {
+func (l slowLink) runJob(p *Estimator, now time.Time, calls int) (lost int) {
 	type sent struct {
 		place int
 		took  time.Duration
@@ -91,13 +91,13 @@
 		took := l.base + time.Duration(i+1)*l.perCall
 		if took > limit {
 			lost++
-			p.Miss(now)
+			p.RecordTimeout(now)
 			continue
 		}
 		all = append(all, sent{place, took})
 	}
 	for _, s := range all {
-		p.Note(now.Add(s.took), s.took, s.place)
+		p.Observe(now.Add(s.took), s.took, s.place)
 	}
 	for range calls {
 		p.End()
@@ -156,7 +156,7 @@
 		p.Begin(small)
 		for range small {
 			place := p.Send()
-			p.Note(now, base+time.Duration(place)*each, place)
+			p.Observe(now, base+time.Duration(place)*each, place)
 		}
 		for range small {
 			p.End()
--- a/internal/cli/cmds/cmd_check.go
+++ b/internal/cli/cmds/cmd_check.go
@@ -57,6 +57,6 @@
 	case errors.As(err, &in):
 		return in.Problems
 	default:
-		return []valid.Problem{{Field: "file", Wrong: err.Error(), Mend: "mend the file"}}
+		return []valid.Problem{{Field: "file", Wrong: err.Error(), Fix: "mend the file"}}
 	}
 }
--- a/internal/cli/cmds/cmd_demo.go
+++ b/internal/cli/cmds/cmd_demo.go
@@ -70,7 +70,7 @@
 	ctx, cancel := context.WithTimeout(ctx, time.Minute)
 	defer cancel()
 	witness := judge.New()
-	d, err := local.Start(ctx, local.Brief(), witness, log)
+	d, err := local.Start(ctx, local.DefaultShape(), witness, log)
 	if err != nil {
 		return nil, err
 	}
@@ -79,9 +79,9 @@
 		return nil, err
 	}
 	fmt.Fprintln(status, "document revision 1 is in force on all VMs")
-	m := withKeys(mix.Paper())
+	m := withKeys(mix.Default())
 	slots := float64(d.Shape.Endpoints * d.Slots)
-	plan := load.Plan{Mix: m, Rate: demoLoad * slots / m.Work().Seconds(), Span: demoDuration, Seed: 1}
+	plan := load.Plan{Mix: m, Rate: demoLoad * slots / m.MeanWork().Seconds(), Span: demoDuration, Seed: 1}
 	for _, v := range d.VMs {
 		plan.Targets = append(plan.Targets, v.Settings.Caller)
 	}
@@ -105,7 +105,7 @@
 		out.Causes[c.String()] = n
 		out.Wasted += n
 	}
-	for _, w := range witness.Why() {
+	for _, w := range witness.Violations() {
 		fmt.Fprintln(status, "broken:", w)
 	}
 	return out, nil
@@ -146,7 +146,7 @@
 func (r *demoReport) print(w io.Writer) {
 	fmt.Fprintf(w, "%-22s %d\n%-22s %d\n", "jobs", r.Jobs, "tasks", r.Tasks)
 	fmt.Fprintf(w, "%-22s %d / %d / %d / %d\n", "done/refused/failed/unk", r.Done, r.Refused, r.Failed, r.Unknown)
-	fmt.Fprintf(w, "%-22s %d / %d / %d / %d\n", "twice/partial/crossed/lies", r.Twice, r.Partial, r.Crossed, r.Lies)
+	fmt.Fprintf(w, "%-22s %d / %d / %d / %d\n", "twice/partial/crossed/lies", r.Twice, r.Partial, r.Crossed, r.FalseRefusals)
 	fmt.Fprintf(w, "%-22s mean %.3f p50 %.3f p99 %.3f\n", "response over ideal", r.Ratio.Mean, r.Ratio.P50, r.Ratio.P99)
 	fmt.Fprintf(w, "%-22s %.3f a task\n", "wasted messages", r.Wasted)
 	for _, c := range meter.Causes() {
--- a/internal/cli/cmds/cmd_entry.go
+++ b/internal/cli/cmds/cmd_entry.go
@@ -80,7 +80,7 @@
 			err = set.Set(s.name, text)
 		}
 		if err != nil {
-			problems = append(problems, valid.Problem{Field: s.name, Wrong: err.Error(), Mend: "mend the flag"})
+			problems = append(problems, valid.Problem{Field: s.name, Wrong: err.Error(), Fix: "mend the flag"})
 		}
 	}
 	if problems = append(problems, set.Check()...); len(problems) > 0 {
--- a/internal/cli/cmds/cmd_keys.go
+++ b/internal/cli/cmds/cmd_keys.go
@@ -59,7 +59,7 @@
 		if err := os.MkdirAll(vmDir, 0o700); err != nil {
 			return fmt.Errorf("make folder: %w", err)
 		}
-		f, err := a.Make(vmDir, life, ip)
+		f, err := a.Issue(vmDir, life, ip)
 		if err != nil {
 			return err
 		}
--- a/internal/cli/cmds/cmd_load.go
+++ b/internal/cli/cmds/cmd_load.go
@@ -63,13 +63,13 @@
 
 func newPlan(c *cobra.Command, args []string) (load.Plan, error) {
 	f := c.Flags()
-	plan := load.Plan{Mix: withKeys(mix.Paper())}
+	plan := load.Plan{Mix: withKeys(mix.Default())}
 	plan.Rate, _ = f.GetFloat64("rate")
 	plan.Span, _ = f.GetDuration("span")
 	plan.Seed, _ = f.GetUint64("seed")
 	plan.Burst, _ = f.GetFloat64("burst")
-	plan.From, _ = f.GetDuration("from")
-	plan.Till, _ = f.GetDuration("till")
+	plan.BurstStart, _ = f.GetDuration("from")
+	plan.BurstEnd, _ = f.GetDuration("till")
 	for _, a := range args {
 		at, err := netip.ParseAddrPort(a)
 		if err != nil {
--- a/internal/cli/cmds/cmd_local.go
+++ b/internal/cli/cmds/cmd_local.go
@@ -30,7 +30,7 @@
 		if v, _ := c.Flags().GetBool("verbose"); v {
 			level = slog.LevelInfo
 		}
-		shape := local.Brief()
+		shape := local.DefaultShape()
 		shape.Domains, _ = c.Flags().GetInt("domains")
 		shape.VMs, _ = c.Flags().GetInt("vms")
 		shape.Endpoints, _ = c.Flags().GetInt("endpoints")
--- a/internal/conf/doc/check.go
+++ b/internal/conf/doc/check.go
@@ -18,7 +18,7 @@
 
 func (c *checker) require(ok bool, field, wrong, fix string) {
 	if !ok {
-		c.problems = append(c.problems, valid.Bad(field, wrong, fix))
+		c.problems = append(c.problems, valid.NewProblem(field, wrong, fix))
 	}
 }
 
@@ -76,8 +76,8 @@
 
 func (d *Document) checkLimits(c *checker) {
 	l := d.Limits
-	c.require(l.Tasks >= 1 && l.Tasks <= MostTasks, "limits.tasks", fmt.Sprint(l.Tasks), fmt.Sprintf("use 1 to %d", MostTasks))
-	c.require(l.Bytes >= 1 && l.Bytes <= MostBytes, "limits.bytes", fmt.Sprint(l.Bytes), fmt.Sprintf("use 1 to %d", MostBytes))
+	c.require(l.Tasks >= 1 && l.Tasks <= MaxTasks, "limits.tasks", fmt.Sprint(l.Tasks), fmt.Sprintf("use 1 to %d", MaxTasks))
+	c.require(l.Bytes >= 1 && l.Bytes <= MaxBytes, "limits.bytes", fmt.Sprint(l.Bytes), fmt.Sprintf("use 1 to %d", MaxBytes))
 	c.require(l.Deadline > 0 && l.Deadline.Std() <= 10*time.Minute, "limits.deadline", l.Deadline.Std().String(), "use more than 0s, at most 10m")
 }
 
--- a/internal/conf/doc/doc.go
+++ b/internal/conf/doc/doc.go
@@ -57,8 +57,8 @@
 
 // Bounds of what a document may declare.
 const (
-	MostTasks  = 520
-	MostBytes  = 16 << 20
+	MaxTasks   = 520
+	MaxBytes   = 16 << 20
 	MaxTenants = 490
 	MaxClasses = 32
 	MaxKeys    = 8
@@ -69,17 +69,17 @@
 // Parse decodes and validates a document.
 func Parse(text []byte) (*Document, error) {
 	if len(text) > MaxText {
-		return nil, valid.Invalid(valid.Bad("document", fmt.Sprintf("%d bytes", len(text)), fmt.Sprintf("keep it under %d", MaxText)))
+		return nil, valid.NewError(valid.NewProblem("document", fmt.Sprintf("%d bytes", len(text)), fmt.Sprintf("keep it under %d", MaxText)))
 	}
 	if ps := checkSchema(text); len(ps) > 0 {
-		return nil, valid.Invalid(ps...)
+		return nil, valid.NewError(ps...)
 	}
 	d := &Document{}
-	if err := valid.Strict(text, d); err != nil {
-		return nil, valid.Invalid(valid.JSONProblem("document", err))
+	if err := valid.DecodeStrict(text, d); err != nil {
+		return nil, valid.NewError(valid.JSONProblem("document", err))
 	}
 	if ps := d.Check(); len(ps) > 0 {
-		return nil, valid.Invalid(ps...)
+		return nil, valid.NewError(ps...)
 	}
 	return d, nil
 }
--- a/internal/conf/doc/schema.go
+++ b/internal/conf/doc/schema.go
@@ -42,11 +42,11 @@
 func checkSchema(text []byte) []valid.Problem {
 	s, err := compiledSchema()
 	if err != nil {
-		return []valid.Problem{valid.Bad("document", err.Error(), "this program is broken; report it")}
+		return []valid.Problem{valid.NewProblem("document", err.Error(), "this program is broken; report it")}
 	}
 	value, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
-		return []valid.Problem{valid.Bad("document", strings.TrimPrefix(err.Error(), "invalid character "), "mend the JSON")}
+		return []valid.Problem{valid.NewProblem("document", strings.TrimPrefix(err.Error(), "invalid character "), "mend the JSON")}
 	}
 	var bad *jsonschema.ValidationError
 	if errors.As(s.Validate(value), &bad) {
@@ -73,26 +73,26 @@
 	switch k := e.ErrorKind.(type) {
 	case *kind.AdditionalProperties:
 		for _, name := range k.Properties {
-			ps = append(ps, valid.Bad(joinPath(path, name), "is not a known field", "remove it, or mend its spelling"))
+			ps = append(ps, valid.NewProblem(joinPath(path, name), "is not a known field", "remove it, or mend its spelling"))
 		}
 		return ps
 	case *kind.Required:
 		for _, name := range k.Missing {
-			ps = append(ps, valid.Bad(joinPath(path, name), "is missing", "add it"))
+			ps = append(ps, valid.NewProblem(joinPath(path, name), "is missing", "add it"))
 		}
 		return ps
 	case *kind.Type:
-		return []valid.Problem{valid.Bad(field, "is of type "+k.Got, "write a value of type "+strings.Join(k.Want, " or "))}
+		return []valid.Problem{valid.NewProblem(field, "is of type "+k.Got, "write a value of type "+strings.Join(k.Want, " or "))}
 	case *kind.Enum:
-		return []valid.Problem{valid.Bad(field, fmt.Sprintf("is %q", k.Got), fmt.Sprintf("use one of %v", k.Want))}
+		return []valid.Problem{valid.NewProblem(field, fmt.Sprintf("is %q", k.Got), fmt.Sprintf("use one of %v", k.Want))}
 	case *kind.Pattern:
 		fix := "write a duration like 750ms or 2s"
 		if strings.Contains(k.Want, "{1,5}") {
 			fix = "write an IP number and a port, such as 10.1.2.3:8080"
 		}
-		return []valid.Problem{valid.Bad(field, fmt.Sprintf("is %q", k.Got), fix)}
+		return []valid.Problem{valid.NewProblem(field, fmt.Sprintf("is %q", k.Got), fix)}
 	default:
-		return []valid.Problem{valid.Bad(field, "does not fit the schema", "compare it with docs/DOCUMENT.md")}
+		return []valid.Problem{valid.NewProblem(field, "does not fit the schema", "compare it with docs/DOCUMENT.md")}
 	}
 }
 
--- a/internal/conf/keeper/keeper.go
+++ b/internal/conf/keeper/keeper.go
@@ -132,7 +132,7 @@
 }
 
 // Certain reports whether the current revision is certainly in force as of the last record read.
-func (k *Keeper) Sure() bool {
+func (k *Keeper) Certain() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.fold.Known()
@@ -165,7 +165,7 @@
 }
 
 // RenewPeriod returns how often Renew should be called.
-func (k *Keeper) RenewLook() time.Duration { return max(time.Second, k.retention/60) }
+func (k *Keeper) RenewPeriod() time.Duration { return max(time.Second, k.retention/60) }
 
 // Errors of Declare.
 var (
--- a/internal/conf/setup/setup.go
+++ b/internal/conf/setup/setup.go
@@ -53,7 +53,7 @@
 // Default returns the default settings, which the file and flags override.
 func Default() Settings {
 	return Settings{
-		Policy: place.Homes, Memory: flow.DefaultMemory, Term: valid.Span(flow.DefaultTerm),
+		Policy: place.Homes, Memory: flow.DefaultMemory, Term: valid.Span(flow.DefaultTicketTerm),
 		Retention: valid.Span(time.Hour), Linger: valid.Span(5 * time.Second), Level: "info",
 	}
 }
@@ -64,7 +64,7 @@
 	if err != nil {
 		return fmt.Errorf("read settings: %w", err)
 	}
-	if err := valid.Strict(text, s); err != nil {
+	if err := valid.DecodeStrict(text, s); err != nil {
 		return &valid.Error{Problems: []valid.Problem{valid.JSONProblem("settings", err)}}
 	}
 	return nil
@@ -74,7 +74,7 @@
 func (s *Settings) Check() (ps []valid.Problem) {
 	require := func(ok bool, field, wrong, fix string) {
 		if !ok {
-			ps = append(ps, valid.Problem{Field: field, Wrong: wrong, Mend: fix})
+			ps = append(ps, valid.Problem{Field: field, Wrong: wrong, Fix: fix})
 		}
 	}
 	require(s.Domain != "", "domain", "is missing", "name this VM's failure domain")
@@ -140,7 +140,7 @@
 	if err != nil {
 		return fmt.Errorf("flag %s: %w", name, err)
 	}
-	if err := valid.Strict(object, s); err != nil {
+	if err := valid.DecodeStrict(object, s); err != nil {
 		return fmt.Errorf("flag %s: %w", name, err)
 	}
 	return nil
--- a/internal/conf/valid/valid.go
+++ b/internal/conf/valid/valid.go
@@ -35,19 +35,19 @@
 type Problem struct {
 	Field string `json:"field"`
 	Wrong string `json:"wrong"`
-	Mend  string `json:"mend"`
+	Fix   string `json:"mend"`
 }
 
 // NewProblem returns a problem.
-func Bad(field, wrong, fix string) Problem { return Problem{field, wrong, fix} }
+func NewProblem(field, wrong, fix string) Problem { return Problem{field, wrong, fix} }
 
-func (p Problem) String() string { return fmt.Sprintf("%s: %s; %s", p.Field, p.Wrong, p.Mend) }
+func (p Problem) String() string { return fmt.Sprintf("%s: %s; %s", p.Field, p.Wrong, p.Fix) }
 
 // Error lists the problems of an invalid document or settings.
 type Error struct{ Problems []Problem }
 
 // NewError returns the error for some problems.
-func Invalid(ps ...Problem) *Error { return &Error{ps} }
+func NewError(ps ...Problem) *Error { return &Error{ps} }
 
 func (e *Error) Error() string {
 	lines := make([]string, len(e.Problems))
@@ -61,7 +61,7 @@
 var ErrTrailing = errors.New("more text after the end")
 
 // DecodeStrict decodes one JSON value and rejects unknown fields and trailing text.
-func Strict(text []byte, into any) error {
+func DecodeStrict(text []byte, into any) error {
 	dec := json.NewDecoder(bytes.NewReader(text))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(into); err != nil {
--- a/internal/edge/call/body.go
+++ b/internal/edge/call/body.go
@@ -44,7 +44,7 @@
 func (j *Job) request(tenant string) *job.Request {
 	r := &job.Request{
 		Tenant: tenant, Class: j.Class, Kind: j.Kind, Ticket: j.Ticket,
-		Left: j.Deadline.Std(), Grant: j.Grant, Tasks: make([]job.Task, len(j.Tasks)),
+		TimeLeft: j.Deadline.Std(), Grant: j.Grant, Tasks: make([]job.Task, len(j.Tasks)),
 	}
 	for i := range j.Tasks {
 		t := &j.Tasks[i]
@@ -57,7 +57,7 @@
 // because it goes into metrics and is kept in memory.
 func decodeJob(text []byte) (*Job, *job.Answer) {
 	j := &Job{}
-	if err := valid.Strict(text, j); err != nil {
+	if err := valid.DecodeStrict(text, j); err != nil {
 		p := valid.JSONProblem("body", err)
 		return nil, job.Refuse(job.BadRequest, 0, "%s", p)
 	}
--- a/internal/edge/call/server.go
+++ b/internal/edge/call/server.go
@@ -41,7 +41,7 @@
 	s := &Server{node: node, log: log}
 	s.http = &fasthttp.Server{
 		Handler: s.handle, Name: "dahliawinch", ReadTimeout: readTimeout, IdleTimeout: idleTimeout,
-		MaxRequestBodySize: doc.MostBytes + jsonOverhead, NoDefaultDate: true, CloseOnShutdown: true,
+		MaxRequestBodySize: doc.MaxBytes + jsonOverhead, NoDefaultDate: true, CloseOnShutdown: true,
 		ErrorHandler: func(ctx *fasthttp.RequestCtx, err error) {
 			writeAnswer(ctx, job.Refuse(job.BadRequest, 0, "request: %v; mend the request", err))
 			ctx.SetConnectionClose()
@@ -74,10 +74,10 @@
 }
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
-	tenant, refusal := s.node.Ident(bearerKey(ctx))
+	tenant, refusal := s.node.Authenticate(bearerKey(ctx))
 	if refusal != nil {
 		if refusal.Reason == job.NoDocument && hasTicket(ctx) {
-			refusal = flow.Elsewhere(refusal)
+			refusal = flow.AsUnknown(refusal)
 		}
 		writeAnswer(ctx, refusal)
 		return
@@ -90,9 +90,9 @@
 	case path == "/tickets" && method == fasthttp.MethodPost:
 		s.issueTickets(ctx, tenant)
 	case isTicket && method == fasthttp.MethodGet:
-		s.queryTicket(ctx, tenant, ticket, s.node.Ask)
+		s.queryTicket(ctx, tenant, ticket, s.node.LookupTicket)
 	case isTicket && method == fasthttp.MethodDelete:
-		s.queryTicket(ctx, tenant, ticket, s.node.Stop)
+		s.queryTicket(ctx, tenant, ticket, s.node.CancelTicket)
 	default:
 		writeAnswer(ctx, job.Refuse(job.BadRequest, 0, "%s %s is not served; use POST /jobs, POST /tickets, GET or DELETE /tickets/TICKET", method, path))
 	}
@@ -144,13 +144,13 @@
 func (s *Server) issueTickets(ctx *fasthttp.RequestCtx, tenant string) {
 	c := ticketRequest{Count: 1}
 	if len(ctx.PostBody()) > 0 {
-		if err := valid.Strict(ctx.PostBody(), &c); err != nil {
+		if err := valid.DecodeStrict(ctx.PostBody(), &c); err != nil {
 			writeAnswer(ctx, job.Refuse(job.BadRequest, 0, "%s", valid.JSONProblem("body", err)))
 			return
 		}
 	}
-	if c.Count < 1 || c.Count > flow.MostGrant {
-		writeAnswer(ctx, job.Refuse(job.BadRequest, 0, "count: %d tickets; ask for 1 to %d", c.Count, flow.MostGrant))
+	if c.Count < 1 || c.Count > flow.MaxGrant {
+		writeAnswer(ctx, job.Refuse(job.BadRequest, 0, "count: %d tickets; ask for 1 to %d", c.Count, flow.MaxGrant))
 		return
 	}
 	text, err := s.node.Grant(tenant, c.Count)
--- a/internal/edge/call/server_test.go
+++ b/internal/edge/call/server_test.go
@@ -27,7 +27,7 @@
 	is := is.New(t)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	node, err := flow.New(t.Context(), flow.Config{Self: netip.MustParseAddrPort("127.0.0.1:1"), Policy: place.Homes},
-		flow.Parts{Timers: timer.New(timer.Wall{}), Meter: meter.New(), Log: log})
+		flow.Deps{Timers: timer.New(timer.Wall{}), Meter: meter.New(), Log: log})
 	is.NoErr(err)
 	l := fasthttputil.NewInmemoryListener()
 	s := NewServer(node, log)
--- a/internal/edge/certs/certs_test.go
+++ b/internal/edge/certs/certs_test.go
@@ -16,7 +16,7 @@
 
 func newStore(t *testing.T, a *Authority, ips ...netip.Addr) (*Store, Files) {
 	t.Helper()
-	f, err := a.Make(t.TempDir(), time.Hour, ips...)
+	f, err := a.Issue(t.TempDir(), time.Hour, ips...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -110,7 +110,7 @@
 	is.NoErr(err)
 	is.NoErr(ping(c))
 	next := newAuthority(t)
-	made, err := next.Make(t.TempDir(), time.Hour, localIP)
+	made, err := next.Issue(t.TempDir(), time.Hour, localIP)
 	is.NoErr(err)
 	for from, to := range map[string]string{made.Cert: f.Cert, made.Key: f.Key, made.Authority: f.Authority} {
 		text, err := os.ReadFile(from)
--- a/internal/edge/certs/issue.go
+++ b/internal/edge/certs/issue.go
@@ -69,7 +69,7 @@
 
 // Issue creates a certificate for IP addresses and writes it, its key and the
 // authority's certificate into a directory.
-func (a *Authority) Make(dir string, life time.Duration, ips ...netip.Addr) (Files, error) {
+func (a *Authority) Issue(dir string, life time.Duration, ips ...netip.Addr) (Files, error) {
 	f := Files{
 		Cert: filepath.Join(dir, CertFile), Key: filepath.Join(dir, KeyFile), Authority: filepath.Join(dir, AuthorityFile),
 	}
--- a/internal/edge/entry/daemon.go
+++ b/internal/edge/entry/daemon.go
@@ -63,7 +63,7 @@
 	if _, err := rand.Read(secret); err != nil {
 		return nil, fmt.Errorf("make ticket secret: %w", err)
 	}
-	dial := link.Dialer(link.TCP)
+	dial := link.Dialer(link.DialTCP)
 	if set.TLS.Cert != "" {
 		var err error
 		if d.certs, err = certs.Open(certs.Files{Cert: set.TLS.Cert, Key: set.TLS.Key, Authority: set.TLS.Authority}); err != nil {
@@ -74,18 +74,18 @@
 		dial = d.dialTLS
 	}
 	hello := frame.Hello{VM: set.Mesh, Inc: inc, Domain: set.Domain}
-	d.hub = link.New(hello, dial, func(from frame.Hello, m frame.Msg) { d.node.Receive(from, m) }, d.meter.Control, log)
+	d.hub = link.New(hello, dial, func(from frame.Hello, m frame.Msg) { d.node.Receive(from, m) }, d.meter.AddControlBytes, log)
 	var err error
 	d.node, err = flow.New(ctx, flow.Config{
 		Self: set.Mesh, Domain: set.Domain, Inc: inc, Secret: secret, Policy: set.Policy, Memory: set.Memory,
-		Term: set.Term.Std(), Tickets: flow.DefaultTickets, Retries: flow.DefaultRetries,
-		Spill: true, Stretch: flow.DefaultStretch, Foresight: true,
-	}, flow.Parts{Timers: d.timers, Runner: d.pool, Mesh: d.hub, Meter: d.meter, Log: log})
+		TicketTerm: set.Term.Std(), MaxTickets: flow.DefaultMaxTickets, RetryRatio: flow.DefaultRetryRatio,
+		Spill: true, SizeWeight: flow.DefaultSizeWeight, EarlyReject: true,
+	}, flow.Deps{Timers: d.timers, Runner: d.pool, Mesh: d.hub, Meter: d.meter, Log: log})
 	if err != nil {
 		return nil, fmt.Errorf("new daemon: %w", err)
 	}
 	d.keeper = keeper.New(ledger.NewClient(set.Log, set.Stream), d.timers, set.Retention.Std(), d.node.Apply, log)
-	d.node.Bind(d.keeper)
+	d.node.SetRevisionStore(d.keeper)
 	d.call = call.NewServer(d.node, log)
 	d.oper = oper.NewServer(d.node, d.keeper, d.meter, set.Operators)
 	for i, a := range []netip.AddrPort{set.Mesh, set.Caller, set.Operator} {
@@ -119,7 +119,7 @@
 
 // dialTLS opens a link to another entry VM with mutual TLS.
 func (d *Daemon) dialTLS(ctx context.Context, to netip.AddrPort) (net.Conn, error) {
-	c, err := link.TCP(ctx, to)
+	c, err := link.DialTCP(ctx, to)
 	if err != nil {
 		return nil, fmt.Errorf("link: %w", err)
 	}
@@ -163,7 +163,7 @@
 func (d *Daemon) Run(ctx, drainCtx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	d.node.Learn(d.withPeers(roster.List{}))
+	d.node.UpdateRoster(d.withPeers(roster.List{}))
 	g, gctx := errgroup.WithContext(ctx)
 	g.Go(func() error { d.timers.Run(gctx); return nil })
 	g.Go(func() error { return d.hub.Run(gctx, d.listeners[meshListener]) })
@@ -171,7 +171,7 @@
 	g.Go(func() error { return ignoreClosed(gctx, d.call.Serve(d.listeners[callerListener])) })
 	g.Go(func() error { return ignoreClosed(gctx, d.oper.Serve(d.listeners[operatorListener])) })
 	g.Go(func() error { d.pollList(gctx, roster.NewClient(d.settings.List)); return nil })
-	d.timers.Every(gctx, d.keeper.RenewLook(), func() { go d.keeper.Renew(gctx) })
+	d.timers.Every(gctx, d.keeper.RenewPeriod(), func() { go d.keeper.Renew(gctx) })
 	if d.certs != nil {
 		d.timers.Every(gctx, certReloadInterval, d.reloadCerts)
 	}
@@ -260,7 +260,7 @@
 		switch {
 		case err == nil:
 			down = false
-			d.node.Learn(d.withPeers(l))
+			d.node.UpdateRoster(d.withPeers(l))
 		case !down && ctx.Err() == nil:
 			down = true
 			d.log.Warn("platform list unreachable", "err", err)
--- a/internal/edge/entry/daemon_test.go
+++ b/internal/edge/entry/daemon_test.go
@@ -18,7 +18,7 @@
 // freeAddr returns a loopback address that no other process is given.
 func freeAddr(t *testing.T) netip.AddrPort {
 	t.Helper()
-	at, err := local.Spare()
+	at, err := local.FreeAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/edge/hangup/hangup.go
+++ b/internal/edge/hangup/hangup.go
@@ -17,11 +17,11 @@
 	// checkInterval is the time between later checks.
 	checkInterval = 100 * time.Millisecond
 	// CloseDelay is how long the close of a caller's connection may take to reach the VM.
-	Notice = 100 * time.Millisecond
+	CloseDelay = 100 * time.Millisecond
 )
 
 // IsOpen reports whether no close of a caller's connection has arrived yet.
-func Open(c net.Conn) bool {
+func IsOpen(c net.Conn) bool {
 	sys, ok := rawConn(c)
 	return !ok || !hungUp(sys)
 }
--- a/internal/edge/oper/server.go
+++ b/internal/edge/oper/server.go
@@ -192,7 +192,7 @@
 
 func (s *Server) declare(ctx *fasthttp.RequestCtx, author string) {
 	var d Declaration
-	if err := valid.Strict(ctx.PostBody(), &d); err != nil {
+	if err := valid.DecodeStrict(ctx.PostBody(), &d); err != nil {
 		p := valid.JSONProblem("body", err)
 		writeJSON(ctx, fasthttp.StatusBadRequest, ErrorBody{Error: p.String(), Problems: []valid.Problem{p}})
 		return
--- a/internal/edge/oper/status.go
+++ b/internal/edge/oper/status.go
@@ -39,8 +39,8 @@
 func (s *Server) status() Status {
 	st := s.node.Stats()
 	out := Status{
-		VM: st.VM, Domain: st.Domain, Inc: st.Inc, Sure: s.keeper.Sure(), Draining: s.node.Draining(),
-		Active: s.node.Active(), Waiting: s.node.Waiting(), Slots: st.Slots, Free: st.Free, Out: st.Out,
+		VM: st.VM, Domain: st.Domain, Inc: st.Inc, Sure: s.keeper.Certain(), Draining: s.node.Draining(),
+		Active: s.node.Active(), Waiting: s.node.Waiting(), Slots: st.Slots, Free: st.Free, Out: st.Ejected,
 		Members: []Member{},
 	}
 	if r, since, ok := s.node.InForce(); ok {
--- a/internal/edge/serve/answer.go
+++ b/internal/edge/serve/answer.go
@@ -56,11 +56,11 @@
 			return from, fmt.Errorf("find the end of the probes: %w", err)
 		}
 	}
-	b, err := d.parts.Presence.Next(d.ctx, from, feed.Ask{Wait: probeWait})
+	b, err := d.parts.Presence.Next(d.ctx, from, feed.ReadOptions{Wait: probeWait})
 	if err != nil {
 		return from, fmt.Errorf("read probes: %w", err)
 	}
-	for _, u := range b.All {
+	for _, u := range b.Updates {
 		switch p := u.Value; {
 		case u.Err != nil || u.Gone || p.From == d.cfg.VM:
 		case p.To.IsValid():
@@ -75,8 +75,8 @@
 // answerProbe answers a probe. A VM of another failure domain that owns nothing there stays silent if it sees another
 // answer first.
 func (d *Node) answerProbe(q Probe) {
-	a := Probe{Domain: q.Domain, From: d.cfg.VM, To: q.From, Call: q.Call, Far: q.Domain != d.cfg.Domain, Owns: d.ownsIn(q.Domain)}
-	if a.Far && !a.Owns {
+	a := Probe{Domain: q.Domain, From: d.cfg.VM, To: q.From, Call: q.Call, Remote: q.Domain != d.cfg.Domain, Owns: d.ownsIn(q.Domain)}
+	if a.Remote && !a.Owns {
 		pause(d.ctx, rand.N(maxRemoteDelay))
 		if d.answered.has(q.Call) {
 			return
@@ -93,7 +93,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.ContainsFunc(d.claims.Groups(), func(g claim.Group) bool {
-		return g.Domain == domain && !d.claims.Owns(g).Giving
+		return g.Domain == domain && !d.claims.Owns(g).HandingOver
 	})
 }
 
--- a/internal/edge/serve/beat.go
+++ b/internal/edge/serve/beat.go
@@ -16,7 +16,7 @@
 	lostAfter = 700 * time.Millisecond
 	// lossReportDelay is how long a report of lost endpoints takes to arrive from another owner: two renewals of an
 	// endpoint, plus a heartbeat between failure domains.
-	lossReportDelay = 2*(renewWait+renewGrace) + view.Far*view.Period
+	lossReportDelay = 2*(renewWait+renewGrace) + view.RemoteFactor*view.Period
 )
 
 // heartbeat sends heartbeats, checks for silent VMs and updates the claims.
@@ -35,22 +35,22 @@
 	d.beatCount++
 	var to []netip.AddrPort
 	for i, m := range d.view.Members() {
-		if m.Speaks() && ((d.beatCount+int64(i))%view.Far == 0 || b.Leaving || d.view.Often(m)) {
+		if m.Speaks() && ((d.beatCount+int64(i))%view.RemoteFactor == 0 || b.Leaving || d.view.Often(m)) {
 			to = append(to, m.VM)
 		}
 	}
-	d.parts.Mesh.Spread(to, b)
+	d.parts.Mesh.SendAll(to, b)
 }
 
 // updateStrain updates whether this VM's messages reach the others late; the caller holds the lock.
 func (d *Node) updateStrain(now time.Time) {
 	d.delay = d.view.Delay()
-	on := d.strain.Look(now, d.delay)
+	on := d.strain.Update(now, d.delay)
 	if on == d.strained {
 		return
 	}
 	d.strained = on
-	d.claims.Strain(on)
+	d.claims.SetStrained(on)
 	d.log.Info("vm strained", "on", on, "delay", d.delay)
 }
 
@@ -61,7 +61,7 @@
 		return
 	}
 	d.isolated = on
-	d.claims.Isolate(on)
+	d.claims.SetIsolated(on)
 	d.log.Info("vm isolated", "on", on, "members", len(d.view.Members()))
 }
 
@@ -77,7 +77,7 @@
 			to = append(to, m.VM)
 		}
 	}
-	d.parts.Mesh.Spread(to, b)
+	d.parts.Mesh.SendAll(to, b)
 }
 
 // memberChanged handles that a VM came, left or was restarted.
@@ -87,7 +87,7 @@
 	defer d.mu.Unlock()
 	if c.State == view.Alive && (d.aliveSince[c.VM].IsZero() || c.Reborn) {
 		d.aliveSince[c.VM] = now
-		_ = d.parts.Mesh.Cast(c.VM, d.newBeat(now)) // it may be about to claim groups that are owned here
+		_ = d.parts.Mesh.Send(c.VM, d.newBeat(now)) // it may be about to claim groups that are owned here
 	}
 	if c.State == view.Gone || c.State == view.Left {
 		delete(d.aliveSince, c.VM)
@@ -95,7 +95,7 @@
 	if c.Reborn {
 		d.routes.Forget(c.VM)
 		d.loseOwner(c.VM, "the owner was restarted")
-		d.book.CancelOf(now, func(k owner.Key) bool { return k.VM == c.VM && k.Inc != c.Inc }, "its VM was restarted")
+		d.book.CancelMatching(now, func(k owner.Key) bool { return k.VM == c.VM && k.Inc != c.Inc }, "its VM was restarted")
 	}
 	d.perform()
 }
@@ -117,12 +117,12 @@
 // Otherwise, with 300 VMs an owner sends its load to 110 others every 0.4 s besides a heartbeat every 0.3 s, each VM
 // reads 100 such messages a second, and processor time grows faster than the fleet.
 func (d *Node) loadInBeat() bool {
-	return d.loadInterval > view.Far*view.Period && d.sentLoad.Total > 0
+	return d.loadInterval > view.RemoteFactor*view.Period && d.sentLoad.Total > 0
 }
 
 // newBeat returns this VM's heartbeat; the caller holds the lock.
-func (d *Node) newBeat(now time.Time) *frame.Beat {
-	b := &frame.Beat{At: now, Leaving: d.leaving.Load(), Doubts: d.view.Doubts(now), Power: float32(d.cfg.Cores), Claims: d.claimFrames(), Storeless: d.storeless.Load(), Late: d.view.Lates(now), Strained: d.strained}
+func (d *Node) newBeat(now time.Time) *frame.Heartbeat {
+	b := &frame.Heartbeat{At: now, Leaving: d.leaving.Load(), Doubts: d.view.Doubts(now), Power: float32(d.cfg.Cores), Claims: d.claimFrames(), Storeless: d.storeless.Load(), Late: d.view.Lates(now), Strained: d.strained}
 	for _, s := range d.book.Suspects(now) {
 		b.Suspects = append(b.Suspects, frame.Suspect(s))
 	}
@@ -134,7 +134,7 @@
 	}
 	if d.loadInBeat() {
 		l := d.loadFrame(d.load(now))
-		l.Next = view.Far * view.Period
+		l.Next = view.RemoteFactor * view.Period
 		b.Load = &l
 	}
 	return b
@@ -175,7 +175,7 @@
 	inBeat := d.loadInBeat()
 	d.mu.Unlock()
 	if !inBeat {
-		d.parts.Mesh.Spread(to, &m)
+		d.parts.Mesh.SendAll(to, &m)
 	}
 }
 
@@ -185,7 +185,7 @@
 // load returns what others need to know about this VM as an owner; the caller holds the lock.
 func (d *Node) load(now time.Time) owner.Load {
 	l := d.book.Load(now)
-	l.Lag = d.pace.Usual().Truncate(lagStep)
+	l.Lag = d.pace.MeanTime().Truncate(lagStep)
 	return l
 }
 
@@ -201,7 +201,7 @@
 }
 
 func (d *Node) recordLoad(now time.Time, vm netip.AddrPort, l owner.Load, sameDomain bool, next time.Duration) {
-	d.routes.Hear(vm, route.Load{At: now, Free: l.Free, Total: l.Total, Ahead: l.Ahead, Lag: l.Lag, Near: sameDomain, Next: next})
+	d.routes.Update(vm, route.Load{At: now, Free: l.Free, Total: l.Total, Ahead: l.Ahead, OrderLatency: l.Lag, Near: sameDomain, NextReport: next})
 }
 
 // loadFrame converts a load to its message; the caller holds the lock.
@@ -218,14 +218,14 @@
 
 // acceptJob submits a job handed over by another VM. It refuses one that was in transit for too long: a link was cut
 // or this VM was paused, so the sender counts this VM as lost and the caller submits the job again elsewhere.
-func (d *Node) acceptJob(from frame.Hello, m *frame.Hand) {
+func (d *Node) acceptJob(from frame.Hello, m *frame.RunJob) {
 	key := owner.Key{VM: from.VM, Inc: from.Inc, Call: m.Call}
 	now := d.lock()
 	defer d.mu.Unlock()
-	age := now.Sub(m.Job.Asked)
+	age := now.Sub(m.Job.AskedAt)
 	if m.To != d.cfg.Inc || age > d.cfg.Limits.Fresh() {
 		d.log.Info("job arrived too late", "job", m.Job.ID, "by", from.VM, "age", age, "to", m.To)
-		d.deliverAnswer(&owner.Tell{Key: key, Answer: *job.Refuse(job.Silent, 0, "it came %s after it was sent", age)})
+		d.deliverAnswer(&owner.Reply{Key: key, Answer: *job.Refuse(job.Silent, 0, "it came %s after it was sent", age)})
 		return
 	}
 	d.book.Submit(now, key, &m.Job)
@@ -242,17 +242,17 @@
 }
 
 // applyReports applies another owner's reports of suspected tasks, lost endpoints and cleared endpoints.
-func (d *Node) applyReports(m *frame.Beat) {
+func (d *Node) applyReports(m *frame.Heartbeat) {
 	now := d.lock()
 	defer d.mu.Unlock()
 	for _, s := range m.Suspects {
-		d.book.Heed(now, owner.Suspect(s))
+		d.book.AddSuspect(now, owner.Suspect(s))
 	}
 	for _, l := range m.Losses {
-		d.book.Miss(now, owner.Loss(l))
+		d.book.AddLoss(now, owner.Loss(l))
 	}
 	for _, c := range m.Cleared {
-		d.book.Yield(now, owner.Cleared(c))
+		d.book.ApplyCleared(now, owner.Cleared(c))
 	}
 	d.perform()
 }
@@ -261,7 +261,7 @@
 func (d *Node) Receive(from frame.Hello, m frame.Msg) {
 	now := d.now()
 	switch m := m.(type) {
-	case *frame.Beat:
+	case *frame.Heartbeat:
 		if c, ok := d.view.Hear(now, from, m); ok {
 			d.memberChanged(c)
 		}
@@ -277,28 +277,28 @@
 		d.mu.Lock()
 		d.recordLoad(now, from.VM, loadOf(*m), from.Domain == d.cfg.Domain, m.Next)
 		d.mu.Unlock()
-	case *frame.Hand:
+	case *frame.RunJob:
 		d.acceptJob(from, m)
 	case *frame.Keepalive:
 		d.receiveKeepalive(from, m)
-	case *frame.Drop:
+	case *frame.CancelJob:
 		d.log.Info("job cancelled by its VM", "by", from.VM, "call", m.Call, "age", d.age(now, from.VM, m.At).Round(time.Millisecond))
 		now := d.lock()
 		d.book.Cancel(now, owner.Key{VM: from.VM, Inc: from.Inc, Call: m.Call}, "its caller left")
 		d.perform()
 		d.mu.Unlock()
-	case *frame.Told:
+	case *frame.JobAnswer:
 		now := d.lock()
 		d.recordLoad(now, from.VM, loadOf(m.Load), from.Domain == d.cfg.Domain, m.Load.Next)
 		if m.To == d.cfg.Inc { // calls of an earlier incarnation had the same numbers
 			d.receiveAnswer(now, from.VM, m.Call, m.Answer)
 		}
 		d.mu.Unlock()
-	case *frame.Planned:
+	case *frame.PlanUpdate:
 		d.receivePlans(from.VM, m)
-	case *frame.Listed:
+	case *frame.EndpointUpdate:
 		d.receiveEndpoints(from.VM, m)
-	case *frame.Ask:
+	case *frame.SnapshotRequest:
 		d.sendCopy(from.VM, m)
 	default:
 	}
--- a/internal/edge/serve/daemon.go
+++ b/internal/edge/serve/daemon.go
@@ -54,12 +54,12 @@
 		return nil, fmt.Errorf("new daemon: %w", err)
 	}
 	cfg := Config{
-		VM: set.Mesh, Domain: set.Domain, Inc: uint64(time.Now().UnixNano()), Seeds: seeds, Far: set.RemoteFactor, Cores: set.Cores, LinkRate: set.linkBytes(),
-		Limits: lease.Limits{Hold: set.Hold.Std(), Stop: set.Stop.Std(), Resend: set.Resend.Std(), Notice: hangup.Notice},
+		VM: set.Mesh, Domain: set.Domain, Inc: uint64(time.Now().UnixNano()), Seeds: seeds, RemoteFactor: set.RemoteFactor, Cores: set.Cores, LinkRate: set.linkBytes(),
+		Limits: lease.Limits{Hold: set.Hold.Std(), Stop: set.Stop.Std(), Resend: set.Resend.Std(), Notice: hangup.CloseDelay},
 	}
 	hello := frame.Hello{VM: cfg.VM, Inc: cfg.Inc, Domain: cfg.Domain}
 	receive := func(from frame.Hello, m frame.Msg) { d.node.Receive(from, m) }
-	d.hub = link.New(hello, link.TCP, receive, d.meter.Control, log)
+	d.hub = link.New(hello, link.DialTCP, receive, d.meter.AddControlBytes, log)
 	d.node = NewNode(ctx, cfg, Parts{Platform: plat, Mesh: d.hub, Timers: d.timers, Clock: clock, Meter: d.meter, Log: log})
 	servers := []struct {
 		at netip.AddrPort
--- a/internal/edge/serve/follow.go
+++ b/internal/edge/serve/follow.go
@@ -27,9 +27,9 @@
 // follow starts the readers of the store's topics.
 func (d *Node) follow() {
 	noop := func() {}
-	plans := &feed.Follower[plan.Decl]{Name: "plan", Source: d.plans, Pace: feed.Pace{Wait: planWait}, Log: d.log, Apply: d.applyPlan, Heard: noop}
-	eps := &feed.Follower[lease.Info]{Name: "endpoints", Source: d.endpoints, Pace: feed.Pace{Pause: rosterPause, Most: feed.Portion}, Log: d.log, Apply: d.applyRoster, Heard: d.expireMissing}
-	vms := &feed.Follower[VM]{Name: "vms", Source: d.parts.VMs, Pace: feed.Pace{Pause: vmsPause, Rest: vmsLaterPause, Settle: vmsEarlyFor}, Log: d.log, Apply: d.applyVMs, Heard: noop}
+	plans := &feed.Follower[plan.Decl]{Name: "plan", Source: d.plans, Pace: feed.Pace{Wait: planWait}, Log: d.log, Apply: d.applyPlan, OnRead: noop}
+	eps := &feed.Follower[lease.Info]{Name: "endpoints", Source: d.endpoints, Pace: feed.Pace{Pause: rosterPause, MaxBytes: feed.EndpointReadBytes}, Log: d.log, Apply: d.applyRoster, OnRead: d.expireMissing}
+	vms := &feed.Follower[VM]{Name: "vms", Source: d.parts.VMs, Pace: feed.Pace{Pause: vmsPause, SettledPause: vmsLaterPause, Settle: vmsEarlyFor}, Log: d.log, Apply: d.applyVMs, OnRead: noop}
 	d.wg.Go(func() { plans.Run(d.ctx) })
 	d.wg.Go(func() { eps.Run(d.ctx) })
 	d.wg.Go(func() { vms.Run(d.ctx) })
@@ -199,5 +199,5 @@
 	})
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.claims.Listed()
+	d.claims.SetListRead()
 }
--- a/internal/edge/serve/incarnation_test.go
+++ b/internal/edge/serve/incarnation_test.go
@@ -26,7 +26,7 @@
 	sent []frame.Msg
 }
 
-func (m *messageRecorder) Cast(_ netip.AddrPort, msg frame.Msg) error {
+func (m *messageRecorder) Send(_ netip.AddrPort, msg frame.Msg) error {
 	m.sent = append(m.sent, msg)
 	return nil
 }
@@ -53,19 +53,19 @@
 		ownerNode.book.Renewed(now, now, ownerNode.book.Find("e"), lease.Report{Clock: 1})
 		ownerNode.mu.Unlock()
 		work := func(id string) batch.Job {
-			return batch.Job{ID: id, Pool: "p", Attempts: 3, Slack: time.Second, Left: time.Minute, Asked: now, Steps: []batch.Step{{Count: 1, Need: job.Size{Cores: 64}, Run: 100 * time.Millisecond}}}
+			return batch.Job{ID: id, Pool: "p", Attempts: 3, Slack: time.Second, TimeLeft: time.Minute, AskedAt: now, Steps: []batch.Step{{Count: 1, Need: job.Size{Cores: 64}, Run: 100 * time.Millisecond}}}
 		}
 		former, newer := frame.Hello{VM: at(1), Inc: 6, Domain: "a"}, frame.Hello{VM: at(1), Inc: 7, Domain: "a"}
-		ownerNode.Receive(former, &frame.Beat{At: now})
+		ownerNode.Receive(former, &frame.Heartbeat{At: now})
 		for n, id := range []string{"runs", "waits"} {
-			ownerNode.Receive(former, &frame.Hand{To: 5, Call: uint64(n + 1), Job: work(id)})
+			ownerNode.Receive(former, &frame.RunJob{To: 5, Call: uint64(n + 1), Job: work(id)})
 		}
-		ownerNode.Receive(newer, &frame.Beat{At: now})
+		ownerNode.Receive(newer, &frame.Heartbeat{At: now})
 
 		entryNode, sent := node(1, 7)
 		entryNode.mu.Lock()
 		for n := byte(2); n < 4; n++ {
-			entryNode.view.Hear(now, frame.Hello{VM: at(n), Inc: uint64(n) + 3, Domain: "a"}, &frame.Beat{At: now})
+			entryNode.view.Hear(now, frame.Hello{VM: at(n), Inc: uint64(n) + 3, Domain: "a"}, &frame.Heartbeat{At: now})
 		}
 		entryNode.recordLoad(now, at(2), owner.Load{Free: 64, Total: 64}, true, loadRepeat)
 		for n := uint64(1); n < 3; n++ {
@@ -77,7 +77,7 @@
 		is.Equal(len(sent.sent), 2)
 		answered := 0
 		for _, m := range answers.sent {
-			if _, ok := m.(*frame.Told); ok {
+			if _, ok := m.(*frame.JobAnswer); ok {
 				answered++
 				entryNode.Receive(frame.Hello{VM: at(2), Inc: 5, Domain: "a"}, m)
 			}
--- a/internal/edge/serve/keepalive.go
+++ b/internal/edge/serve/keepalive.go
@@ -13,7 +13,7 @@
 // time after the last keepalive was sent, so a late or lost message never prolongs a run.
 func (d *Node) sendKeepalives() {
 	for vm, m := range d.keepalives() {
-		d.parts.Mesh.Spread([]netip.AddrPort{vm}, m)
+		d.parts.Mesh.SendAll([]netip.AddrPort{vm}, m)
 	}
 }
 
--- a/internal/edge/serve/late_refusal_test.go
+++ b/internal/edge/serve/late_refusal_test.go
@@ -32,7 +32,7 @@
 	now := time.Now()
 	entry.mu.Lock()
 	for i := byte(2); i < 4; i++ {
-		entry.view.Hear(now, frame.Hello{VM: at(i), Inc: 1, Domain: "a"}, &frame.Beat{At: now})
+		entry.view.Hear(now, frame.Hello{VM: at(i), Inc: 1, Domain: "a"}, &frame.Heartbeat{At: now})
 		entry.recordLoad(now, at(i), owner.Load{Free: 64, Total: 64}, true, loadRepeat)
 	}
 	c := &call{n: 7, job: &batch.Job{ID: "j", Steps: []batch.Step{{Count: 1}}}, arrived: now, deadline: now.Add(time.Minute), done: make(chan struct{})}
@@ -42,7 +42,7 @@
 	is.Equal(len(sent.sent), 1)
 	other, answers := node(c.owner, 1)
 	// A job handed over by the former incarnation arrives only now.
-	other.Receive(frame.Hello{VM: at(1), Inc: 1, Domain: "a"}, &frame.Hand{To: 1, Call: 7, Job: batch.Job{ID: "i", Asked: now.Add(-5 * time.Second)}})
+	other.Receive(frame.Hello{VM: at(1), Inc: 1, Domain: "a"}, &frame.RunJob{To: 1, Call: 7, Job: batch.Job{ID: "i", AskedAt: now.Add(-5 * time.Second)}})
 	is.Equal(len(answers.sent), 1)
 	entry.Receive(frame.Hello{VM: c.owner, Inc: 1, Domain: "a"}, answers.sent[0])
 	is.True(!c.ended)
--- a/internal/edge/serve/node.go
+++ b/internal/edge/serve/node.go
@@ -37,22 +37,22 @@
 
 // Config configures a node.
 type Config struct {
-	VM       netip.AddrPort // mesh address
-	Domain   string         // failure domain
-	Inc      uint64         // incarnation
-	Seeds    []netip.AddrPort
-	Limits   lease.Limits
-	Far      float64 // how many times longer a task runs outside its data's failure domain
-	Cores    float64 // cores that this VM may use
-	LinkRate float64 // bytes a second that its link carries; 0 if unknown
+	VM           netip.AddrPort // mesh address
+	Domain       string         // failure domain
+	Inc          uint64         // incarnation
+	Seeds        []netip.AddrPort
+	Limits       lease.Limits
+	RemoteFactor float64 // how many times longer a task runs outside its data's failure domain
+	Cores        float64 // cores that this VM may use
+	LinkRate     float64 // bytes a second that its link carries; 0 if unknown
 }
 
 // Mesh carries messages to other entry VMs. Messages to one incarnation arrive once and in order, or that incarnation
 // is reported gone.
 type Mesh interface {
-	Cast(to netip.AddrPort, m frame.Msg) error
+	Send(to netip.AddrPort, m frame.Msg) error
 	// Spread sends a message, which may be lost, to many VMs.
-	Spread(to []netip.AddrPort, m frame.Msg)
+	SendAll(to []netip.AddrPort, m frame.Msg)
 	// Absent reports whether a VM's machine does not answer, or answers that no process listens.
 	Absent(vm netip.AddrPort) bool
 	// Refused reports whether a VM's machine answered that no process listens.
@@ -79,7 +79,7 @@
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 	view   *view.View
-	pace   *pace.Pace // response times of orders to endpoints
+	pace   *pace.Estimator // response times of orders to endpoints
 
 	plans     *feed.Relay[plan.Decl]
 	endpoints *feed.Relay[lease.Info]
@@ -101,13 +101,13 @@
 	vmsReadAfter time.Duration
 
 	mu           sync.Mutex // guards all fields below
-	book         *owner.Book
-	claims       *claim.Book
+	book         *owner.Scheduler
+	claims       *claim.Table
 	routes       *route.Table
 	calls        map[uint64]*call
 	byID         map[string]*call
 	parked       []*call // calls that wait until an owner is known
-	waits        learn.Waits
+	waits        learn.PriorWaits
 	askers       []netip.AddrPort // VMs that asked for a copy of the endpoints before they were known here
 	roster       *roster
 	missingSince map[string]time.Time // since when the entry of an endpoint is missing
@@ -126,7 +126,7 @@
 	peerBuf       []claim.Peer                 // reused for each round of claims
 	lastAnswer    map[claim.Group]time.Time    // when an endpoint of an owned group last answered
 	refusals      map[claim.Group]fenceRefusal // claims of the own domain whose fence proved too low
-	strain        view.Strain
+	strain        view.StrainDetector
 	strained      bool           // this VM's messages reach the others late
 	delay         time.Duration  // how late
 	isolated      bool           // it seems to be cut off from all others
@@ -148,7 +148,7 @@
 		pace: pace.New(minOrderWait, maxOrderWait), hasUnowned: true,
 		view: view.New(cfg.VM, cfg.Domain, now), claims: claim.New(cfg.VM, cfg.Domain, cfg.Cores, now),
 	}
-	d.book = owner.New(owner.Config{Limits: cfg.Limits, Far: cfg.Far, Hearsay: lossReportDelay, Log: parts.Log, Orders: d.pace.Expect, Outlived: parts.Meter.Outlived})
+	d.book = owner.New(owner.Config{Limits: cfg.Limits, RemoteFactor: cfg.RemoteFactor, VerdictDelay: lossReportDelay, Log: parts.Log, OrderDelay: d.pace.Expect, Outlived: parts.Meter.ObserveOutlived})
 	d.ctx, d.cancel = context.WithCancel(ctx)
 	d.view.Links(remoteLinks)
 	d.initRelays()
@@ -201,7 +201,7 @@
 	now := d.now()
 	// After a loss of all VMs nobody owns endpoints for some tenths of a second. While no VM is ready the load balancer
 	// sends callers to any machine, even one without power, so they are better off here, where their jobs wait for owners.
-	return d.routes.Known(now) > 0 || (d.endpointsRead && now.Sub(d.began) < joinWindow && !d.claims.Defers())
+	return d.routes.Known(now) > 0 || (d.endpointsRead && now.Sub(d.began) < joinWindow && !d.claims.Deferring())
 }
 
 // handlePause handles a pause of this VM. Its peers only seemed silent, and they have given up the jobs that they
@@ -211,7 +211,7 @@
 	d.view.Resume(d.now())
 	now := d.lock()
 	defer d.mu.Unlock()
-	d.book.CancelOf(now, func(k owner.Key) bool { return k.VM != d.cfg.VM }, "this VM was paused, and taken for lost")
+	d.book.CancelMatching(now, func(k owner.Key) bool { return k.VM != d.cfg.VM }, "this VM was paused, and taken for lost")
 	d.perform()
 }
 
--- a/internal/edge/serve/order_test.go
+++ b/internal/edge/serve/order_test.go
@@ -52,10 +52,10 @@
 	n.book.Own(lease.Info{ID: "e", Addr: at, Pool: "p", Size: job.Size{Cores: 64}}, 1)
 	n.book.Renewed(now, now, n.book.Find("e"), lease.Report{Clock: 1})
 	n.book.Submit(now, owner.Key{VM: at, Call: 1}, &batch.Job{
-		ID: "j", Pool: "p", Attempts: 3, Stretch: 1.6, Slack: time.Second, Left: time.Minute,
+		ID: "j", Pool: "p", Attempts: 3, Stretch: 1.6, Slack: time.Second, TimeLeft: time.Minute,
 		Steps: []batch.Step{{Count: 1, Need: job.Size{Cores: 9}, Run: time.Second}},
 	})
-	return n, n.book.Take().Starts[0]
+	return n, n.book.TakeActions().Starts[0]
 }
 
 // runStart sends the start of a job's only task to an agent with the given answers.
@@ -75,7 +75,7 @@
 	_, a, run := runStart(t, errTimeout, errTimeout, nil)
 	is.Equal(len(a.starts), 3)
 	is.Equal(a.starts[0], a.starts[2])
-	is.Equal(run.Stage, lease.On)
+	is.Equal(run.Stage, lease.Running)
 }
 
 // Guards against a task that runs twice at the same time: a start gets no answer, its repetition is refused for lack of
@@ -99,7 +99,7 @@
 	is := is.New(t)
 	n, a, _ := runStart(t, errTimeout)
 	for range 50 {
-		n.pace.Note(time.Now(), 3*time.Millisecond, 1)
+		n.pace.Observe(time.Now(), 3*time.Millisecond, 1)
 		_, err := n.sendStart(&lease.Endpoint{}, a.starts[0], n.pace.Begin(1))
 		is.Equal(err, errTimeout)
 	}
@@ -109,7 +109,7 @@
 // castRecorder records the receivers of messages to other VMs.
 type castRecorder struct{ to []netip.AddrPort }
 
-func (c *castRecorder) Cast(to netip.AddrPort, _ frame.Msg) error {
+func (c *castRecorder) Send(to netip.AddrPort, _ frame.Msg) error {
 	c.to = append(c.to, to)
 	return nil
 }
@@ -120,7 +120,7 @@
 // Refused implements Mesh.
 func (c *castRecorder) Refused(netip.AddrPort) bool { return false }
 
-func (c *castRecorder) Spread([]netip.AddrPort, frame.Msg) {}
+func (c *castRecorder) SendAll([]netip.AddrPort, frame.Msg) {}
 
 // Guards against refusing a caller although other owners are idle: its job reaches an owner that was paused, 0.5 s after
 // it was sent, and is not begun. That owner's refusal must not count for all.
@@ -135,7 +135,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for i := byte(2); i < 4; i++ {
-		n.view.Hear(now, frame.Hello{VM: at(i), Inc: 1, Domain: "a"}, &frame.Beat{At: now})
+		n.view.Hear(now, frame.Hello{VM: at(i), Inc: 1, Domain: "a"}, &frame.Heartbeat{At: now})
 		n.recordLoad(now, at(i), owner.Load{Free: 64, Total: 64}, true, loadRepeat)
 	}
 	c := &call{n: 7, job: &batch.Job{ID: "j", Steps: []batch.Step{{Count: 1}}}, arrived: now, deadline: now.Add(time.Minute), done: make(chan struct{})}
--- a/internal/edge/serve/own.go
+++ b/internal/edge/serve/own.go
@@ -18,10 +18,10 @@
 // claimableGroups returns the groups of endpoints that this VM may claim. One of another failure domain is included only
 // while this VM reaches its endpoints: a claim across a partition would have no effect until the partition heals, and
 // then take the endpoints from the owner that served them.
-func (d *Node) claimableGroups(now time.Time) (gs []claim.Seat) {
+func (d *Node) claimableGroups(now time.Time) (gs []claim.Candidate) {
 	for g := range d.roster.groups {
 		if g.Domain == d.cfg.Domain || d.claims.Owns(g) != nil || d.reaches(now, g) {
-			gs = append(gs, claim.Seat{Group: g, Unit: d.roster.unit(g)})
+			gs = append(gs, claim.Candidate{Group: g, Unit: d.roster.unit(g)})
 		}
 	}
 	return gs
@@ -32,7 +32,7 @@
 	reachValid = time.Second
 	// reachLeast is how long a group must have been reachable before it may be claimed. After a partition its endpoints are
 	// reached before its owner is heard, which takes a new link and a heartbeat.
-	reachLeast = link.Heal + (view.Far+1)*view.Period
+	reachLeast = link.MaxReconnect + (view.RemoteFactor+1)*view.Period
 	// reachTimeout bounds one check whether an endpoint can be reached.
 	reachTimeout = 300 * time.Millisecond
 	// unreachableFor is how long an owner keeps a group of another domain while it reaches none of its endpoints.
@@ -50,7 +50,7 @@
 func (d *Node) reachGroups(now time.Time, peers []claim.Peer) {
 	var owned map[claim.Group]bool
 	for domain := range d.roster.sizes {
-		if domain == d.cfg.Domain || claim.Headed(domain, peers) {
+		if domain == d.cfg.Domain || claim.HasActiveVM(domain, peers) {
 			continue
 		}
 		if owned == nil {
@@ -99,7 +99,7 @@
 	peers := d.claimPeers(now)
 	d.reachGroups(now, peers)
 	for _, c := range d.claims.Decide(now, d.leaving.Load(), d.claimableGroups(now), peers) {
-		d.log.Info("group", "group", c.Group, "fence", c.Fence, "giving", c.Giving, "lost", c.Lost, "why", c.Why)
+		d.log.Info("group", "group", c.Group, "fence", c.Fence, "giving", c.HandingOver, "lost", c.Lost, "why", c.Why)
 		if c.Lost {
 			d.loseGroup(now, c.Group, c.Why)
 		}
@@ -192,14 +192,14 @@
 	pending := false
 	for id := range d.roster.groups[g] {
 		switch {
-		case o.Giving:
-			d.book.Give(id)
+		case o.HandingOver:
+			d.book.HandOver(id)
 			pending = pending || d.book.Owned(id)
 		case !held[id] && !d.book.Owned(id) && p.Uses(d.roster.all[id].Pool):
 			d.book.Own(d.roster.all[id], o.Fence)
 		}
 	}
-	if !o.Giving {
+	if !o.HandingOver {
 		d.dropUnreachable(now, g)
 		return
 	}
@@ -243,7 +243,7 @@
 // such claim exists, as when this VM's clock is behind. An owner of another domain's group drops it at once: it may
 // have no link to the other owner, and the two would take the group from each other without end.
 func (d *Node) handleRefusal(why agent.Refusal, ep *lease.Endpoint, fence uint64) {
-	if why == agent.Dead {
+	if why == agent.WrongInstance {
 		d.roster.markDead(ep.ID)
 	}
 	if why != agent.Fenced {
@@ -252,10 +252,10 @@
 	d.claims.Raise(fence)
 	g := groupOf(ep.Info)
 	o, now := d.claims.Owns(g), d.now()
-	if o == nil || o.Giving || (g.Domain == d.cfg.Domain && !d.isolated && !d.isFenceStale(now, g, o, fence)) {
+	if o == nil || o.HandingOver || (g.Domain == d.cfg.Domain && !d.isolated && !d.isFenceStale(now, g, o, fence)) {
 		return
 	}
-	backoff := d.claims.Shun(now, g)
+	backoff := d.claims.BackOff(now, g)
 	d.log.Info("group dropped", "group", g, "why", "another VM has a higher fence", "backoff", backoff)
 	d.loseGroup(now, g, "another VM owns its group")
 }
@@ -271,7 +271,7 @@
 
 // isFenceStale reports whether endpoints have refused a claim's fence for so long that no live VM holds a higher one;
 // the caller holds the lock.
-func (d *Node) isFenceStale(now time.Time, g claim.Group, o *claim.Own, fence uint64) bool {
+func (d *Node) isFenceStale(now time.Time, g claim.Group, o *claim.Ownership, fence uint64) bool {
 	if fence != o.Fence {
 		return false
 	}
@@ -287,13 +287,13 @@
 func (d *Node) claimFrames() (cs []frame.Claim) {
 	for _, g := range d.claims.Groups() {
 		o := d.claims.Owns(g)
-		c := frame.Claim{Domain: g.Domain, Fence: o.Fence, Giving: o.Giving}
+		c := frame.Claim{Domain: g.Domain, Fence: o.Fence, Giving: o.HandingOver}
 		if n := len(cs) - 1; n < 0 || cs[n].Domain != c.Domain || cs[n].Fence != c.Fence || cs[n].Giving != c.Giving {
 			cs = append(cs, c)
 		}
 		last := &cs[len(cs)-1]
 		last.Shards |= 1 << g.Shard
-		if o.Giving {
+		if o.HandingOver {
 			last.Held = append(last.Held, d.ownedIDs(g)...)
 		}
 	}
--- a/internal/edge/serve/parts.go
+++ b/internal/edge/serve/parts.go
@@ -35,7 +35,7 @@
 	VMs       Registry
 	Presence  Presence
 	// Callers and Ready each make the server of one listener, backed by the daemon.
-	Callers func(d Door) Server
+	Callers func(d Dispatcher) Server
 	Ready   func(ready func() bool) Server
 }
 
@@ -47,18 +47,18 @@
 
 // Submission is a caller's request to run a job.
 type Submission struct {
-	Host    string
-	Path    string // the queue's path followed by the job's ID
-	Job     batch.Job
-	Left    time.Duration // until the caller's deadline; 0 if it names none
-	Refused string        // why a job of this kind is not supported; empty if it is
+	Host        string
+	Path        string // the queue's path followed by the job's ID
+	Job         batch.Job
+	Left        time.Duration // until the caller's deadline; 0 if it names none
+	Unsupported string        // why a job of this kind is not supported; empty if it is
 	// Open reports whether the caller's connection is still open; nil if this can't be checked. It must not block,
 	// and it is not called after Submit has returned.
 	Open func() bool
 }
 
 // Dispatcher is the daemon's interface for callers.
-type Door interface {
+type Dispatcher interface {
 	// Submit runs a job and returns its final answer; ctx ends when the caller has left.
 	Submit(ctx context.Context, s Submission) job.Answer
 	// Cancel cancels a job and reports whether this VM knew it.
--- a/internal/edge/serve/perform.go
+++ b/internal/edge/serve/perform.go
@@ -39,8 +39,8 @@
 // perform carries out the book's decisions; the caller holds the lock.
 func (d *Node) perform() {
 	for {
-		actions := d.book.Take()
-		if len(actions.Starts)+len(actions.Stops)+len(actions.Tells)+len(actions.Wakes) == 0 {
+		actions := d.book.TakeActions()
+		if len(actions.Starts)+len(actions.Stops)+len(actions.Replies)+len(actions.Renewals) == 0 {
 			return
 		}
 		if n := len(actions.Starts); n > 0 {
@@ -54,24 +54,24 @@
 			s := actions.Stops[i]
 			d.wg.Go(func() { d.stop(s) })
 		}
-		for i := range actions.Wakes {
-			d.wakeRenewal(actions.Wakes[i].At)
+		for i := range actions.Renewals {
+			d.wakeRenewal(actions.Renewals[i].At)
 		}
-		for i := range actions.Tells {
-			d.deliverAnswer(&actions.Tells[i])
+		for i := range actions.Replies {
+			d.deliverAnswer(&actions.Replies[i])
 		}
 	}
 }
 
 // deliverAnswer sends a job's answer to the VM that accepted the job; the caller holds the lock.
-func (d *Node) deliverAnswer(t *owner.Tell) {
+func (d *Node) deliverAnswer(t *owner.Reply) {
 	now := d.now()
 	if t.Key.VM == d.cfg.VM {
 		d.receiveAnswer(now, t.Key.VM, t.Key.Call, t.Answer)
 		return
 	}
-	m := &frame.Told{To: t.Key.Inc, Call: t.Key.Call, Answer: t.Answer, Load: d.loadFrame(d.load(now))}
-	if err := d.parts.Mesh.Cast(t.Key.VM, m); err != nil {
+	m := &frame.JobAnswer{To: t.Key.Inc, Call: t.Key.Call, Answer: t.Answer, Load: d.loadFrame(d.load(now))}
+	if err := d.parts.Mesh.Send(t.Key.VM, m); err != nil {
 		d.log.Info("answer lost", "vm", t.Key.VM, "call", t.Key.Call, "outcome", t.Answer.Outcome.String(), "err", err)
 	}
 }
@@ -82,8 +82,8 @@
 // or has existed, and is the fastest way to find out. The caller has counted the first try with pace.Begin, and passes
 // its time limit.
 func (d *Node) start(s owner.Start, limit time.Duration) {
-	d.parts.Meter.Start()
-	n := lease.Name{Task: s.Run.Name, Num: s.Run.Num}
+	d.parts.Meter.AddStart()
+	n := lease.RunID{Task: s.Run.Name, Num: s.Run.Num}
 	o := agent.Start{Name: n, Spec: s.Spec, Until: s.Until, Fence: s.Fence}
 	unanswered := 0
 	var err error
@@ -100,7 +100,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.book.Ordered(d.now(), s, unanswered, err)
+	d.book.StartResult(d.now(), s, unanswered, err)
 	var refused *agent.RefusedError
 	if errors.As(err, &refused) {
 		d.handleRefusal(refused.Why, s.At, s.Fence)
@@ -118,9 +118,9 @@
 	err = d.parts.Agent.Start(ctx, target(ep), o)
 	switch {
 	case agent.Unanswered(err):
-		d.pace.Miss(began)
+		d.pace.RecordTimeout(began)
 	case !errors.Is(err, agent.ErrUnsent):
-		d.pace.Note(d.now(), d.now().Sub(began), place)
+		d.pace.Observe(d.now(), d.now().Sub(began), place)
 	}
 	return place, err
 }
@@ -133,7 +133,7 @@
 	now := d.now()
 	d.lossyUntil = now.Add(lossyFor)
 	open := d.ctx.Err() == nil && s.Run.Stage == lease.Sent
-	d.log.Info("start unanswered", "job", s.Run.Task.Job, "task", s.Run.Name, "run", s.Run.Num, "endpoint", s.At.ID, "after", now.Sub(s.Run.At).Round(time.Millisecond), "place", place, "limit", limit.Round(time.Millisecond), "open", open)
+	d.log.Info("start unanswered", "job", s.Run.Task.Job, "task", s.Run.Name, "run", s.Run.Num, "endpoint", s.At.ID, "after", now.Sub(s.Run.SentAt).Round(time.Millisecond), "place", place, "limit", limit.Round(time.Millisecond), "open", open)
 	return open
 }
 
@@ -144,9 +144,9 @@
 		err := d.parts.Agent.Stop(ctx, target(s.At), s.Name, s.Fence)
 		cancel()
 		var refused *agent.RefusedError
-		if errors.As(err, &refused) && (refused.Why == agent.Fenced || refused.Why == agent.Dead) {
+		if errors.As(err, &refused) && (refused.Why == agent.Fenced || refused.Why == agent.WrongInstance) {
 			d.mu.Lock()
-			d.book.Lose(d.now(), s.At.ID, refused.Why == agent.Dead, "it refused a stop: "+refused.Why.String())
+			d.book.Lose(d.now(), s.At.ID, refused.Why == agent.WrongInstance, "it refused a stop: "+refused.Why.String())
 			d.handleRefusal(refused.Why, s.At, s.Fence)
 			d.perform()
 			d.mu.Unlock()
@@ -213,8 +213,8 @@
 		idle := ep.Idle()
 		now := d.now()
 		o := agent.Renew{Fence: ep.Fence, Cursor: ep.Cursor}
-		if ep.Known && !ep.Silent && len(ep.Runs) > 0 {
-			o.Until, o.Wait = ep.Until(now), min(renewWait, d.cfg.Limits.Lease()/renewsPerLease)
+		if ep.Synced && !ep.Silent && len(ep.Runs) > 0 {
+			o.Until, o.Wait = ep.RenewUntil(now), min(renewWait, d.cfg.Limits.Lease()/renewsPerLease)
 			switch {
 			case ep.Missed > 0:
 				o.Wait = 0 // answered at once, which tells a lost answer from a lost endpoint
@@ -251,20 +251,20 @@
 	var refused *agent.RefusedError
 	switch {
 	case err == nil:
-		d.pace.Heard(now)
+		d.pace.RecordAnswer(now)
 		d.book.Renewed(now, sent, ep, r)
-	case errors.As(err, &refused) && (refused.Why == agent.Fenced || refused.Why == agent.Dead):
-		d.book.Lose(now, ep.ID, refused.Why == agent.Dead, "it refused a renewal: "+refused.Why.String())
+	case errors.As(err, &refused) && (refused.Why == agent.Fenced || refused.Why == agent.WrongInstance):
+		d.book.Lose(now, ep.ID, refused.Why == agent.WrongInstance, "it refused a renewal: "+refused.Why.String())
 		d.handleRefusal(refused.Why, ep, o.Fence)
 	default:
 		d.log.Info("look unanswered", "endpoint", ep.ID, "wait", o.Wait, "grace", grace, "runs", len(ep.Runs), "missed", ep.Missed+1, "err", err)
 		if !ep.Silent {
 			d.lossyUntil = now.Add(lossyFor)
 		}
-		d.book.Quiet(now, ep, err)
+		d.book.RenewalFailed(now, ep, err)
 	}
 	d.perform()
-	backoff := (err != nil && ep.Silent) || !ep.Known
+	backoff := (err != nil && ep.Silent) || !ep.Synced
 	d.mu.Unlock()
 	if backoff {
 		pause(d.ctx, renewRetry)
--- a/internal/edge/serve/probe.go
+++ b/internal/edge/serve/probe.go
@@ -20,7 +20,7 @@
 	To     netip.AddrPort // the VM that asked; invalid in a question
 	Call   uint64         // the question's number, repeated in its answers
 	Wide   bool           // in a question: VMs of other failure domains are asked too
-	Far    bool           // in an answer: it comes from a VM of another failure domain
+	Remote bool           // in an answer: it comes from a VM of another failure domain
 	Owns   bool           // in an answer: the sender owns endpoints of the failure domain
 }
 
@@ -154,10 +154,10 @@
 	case now.Sub(p.at) >= probeValid:
 		p.result, p.unanswered = resultUnknown, 0
 	}
-	d.claims.CutOff((c.heard == 0 || c.isCut()) && p.result >= remoteAnswered)
-	d.claims.Defer(p.result == ownerAnswered)
-	d.claims.Succeed(p.result.noNeighbour())
-	d.claims.SucceedAll(d.isLast(c))
+	d.claims.SetCutOff((c.heard == 0 || c.isCut()) && p.result >= remoteAnswered)
+	d.claims.SetDeferring(p.result == ownerAnswered)
+	d.claims.SetNeighboursLost(p.result.noNeighbour())
+	d.claims.SetAllLost(d.isLast(c))
 }
 
 // isLast reports whether all other VMs are surely down; the caller holds the lock.
@@ -206,12 +206,12 @@
 	until := now.Add(max(minProbeWait, probeWaitFactor*now.Sub(began)))
 	result = noneAnswered
 	for ; now.Before(until); now = d.now() {
-		b, err := d.parts.Presence.Next(ctx, from, feed.Ask{Wait: until.Sub(now)})
+		b, err := d.parts.Presence.Next(ctx, from, feed.ReadOptions{Wait: until.Sub(now)})
 		if err != nil {
 			return resultUnknown, by, fmt.Errorf("read answers to a probe: %w", err)
 		}
 		from = b.Next
-		for _, u := range b.All {
+		for _, u := range b.Updates {
 			a := u.Value
 			if a.To != q.From || a.Call != q.Call || d.hears(a.From) {
 				continue
@@ -232,7 +232,7 @@
 	switch {
 	case p.Owns:
 		return ownerAnswered
-	case p.Far:
+	case p.Remote:
 		return remoteAnswered
 	default:
 		return neighbourAnswered
--- a/internal/edge/serve/probe_test.go
+++ b/internal/edge/serve/probe_test.go
@@ -60,9 +60,9 @@
 		"an owner":                       {probeTopic{answers: []Probe{{From: thirdVM}, {From: secondVM, Owns: true}}}, ownerAnswered},
 		"a neighbour without endpoints":  {probeTopic{answers: []Probe{{From: secondVM}}}, neighbourAnswered},
 		"nobody":                         {probeTopic{}, noneAnswered},
-		"a VM of another domain":         {probeTopic{answers: []Probe{{From: thirdVM, Far: true}}}, remoteAnswered},
-		"an owner in another domain":     {probeTopic{answers: []Probe{{From: thirdVM, Far: true, Owns: true}}}, ownerAnswered},
-		"a neighbour and another domain": {probeTopic{answers: []Probe{{From: secondVM}, {From: thirdVM, Far: true}}}, neighbourAnswered},
+		"a VM of another domain":         {probeTopic{answers: []Probe{{From: thirdVM, Remote: true}}}, remoteAnswered},
+		"an owner in another domain":     {probeTopic{answers: []Probe{{From: thirdVM, Remote: true, Owns: true}}}, ownerAnswered},
+		"a neighbour and another domain": {probeTopic{answers: []Probe{{From: secondVM}, {From: thirdVM, Remote: true}}}, neighbourAnswered},
 		"another probe's answer":         {probeTopic{answers: []Probe{{From: secondVM, To: thirdVM, Call: 1, Owns: true}}}, noneAnswered},
 		"too late":                       {probeTopic{answerDelay: minProbeWait + time.Millisecond, answers: []Probe{{From: secondVM, Owns: true}}}, noneAnswered},
 		"a slow store":                   {probeTopic{callTime: 100 * time.Millisecond, answerDelay: 450 * time.Millisecond, answers: []Probe{{From: secondVM, Owns: true}}}, ownerAnswered},
@@ -104,7 +104,7 @@
 	n.parts.Presence = p
 	now := n.now()
 	n.mu.Lock()
-	n.claims.Decide(now.Add(time.Minute), false, []claim.Seat{{Group: claim.Group{Domain: "a"}}}, nil)
+	n.claims.Decide(now.Add(time.Minute), false, []claim.Candidate{{Group: claim.Group{Domain: "a"}}}, nil)
 	n.mu.Unlock()
 	p.Put("a", Probe{Domain: "a", From: secondVM, Call: 1})
 	p.Put("b", Probe{Domain: "b", From: thirdVM, Call: 2})
@@ -139,21 +139,21 @@
 			n.parts.Presence = p
 			if c.owns {
 				n.mu.Lock()
-				n.claims.Decide(n.now().Add(time.Minute), false, []claim.Seat{{Group: claim.Group{Domain: "b"}}}, nil)
+				n.claims.Decide(n.now().Add(time.Minute), false, []claim.Candidate{{Group: claim.Group{Domain: "b"}}}, nil)
 				n.mu.Unlock()
 			}
 			p.Put("b", Probe{Domain: "b", From: secondVM, Call: 1, Wide: true})
 			if c.answered {
-				p.Put("b", Probe{Domain: "b", From: thirdVM, To: secondVM, Call: 1, Far: true})
+				p.Put("b", Probe{Domain: "b", From: thirdVM, To: secondVM, Call: 1, Remote: true})
 			}
 			from, err := n.readProbes(0, true)
 			is.NoErr(err)
 			n.wg.Wait()
-			b, err := p.Next(t.Context(), from, feed.Ask{})
+			b, err := p.Next(t.Context(), from, feed.ReadOptions{})
 			is.NoErr(err)
-			is.Equal(len(b.All), c.want)
-			for _, u := range b.All {
-				is.Equal(u.Value, Probe{Domain: "b", From: n.cfg.VM, To: secondVM, Call: 1, Far: true, Owns: c.owns})
+			is.Equal(len(b.Updates), c.want)
+			for _, u := range b.Updates {
+				is.Equal(u.Value, Probe{Domain: "b", From: n.cfg.VM, To: secondVM, Call: 1, Remote: true, Owns: c.owns})
 			}
 		})
 	}
--- a/internal/edge/serve/relay.go
+++ b/internal/edge/serve/relay.go
@@ -25,13 +25,13 @@
 // initRelays sets up the topics that one VM of a failure domain reads for all.
 func (d *Node) initRelays() {
 	d.plans = (&feed.Relay[plan.Decl]{
-		Source: d.parts.Plans, Reads: d.isReader, Share: d.sharePlans, Patience: d.readerTimeout(planTimeout), Alone: d.logReaderSilent("plan"), Reached: d.storeReached,
-		Same: plan.Decl.Same,
-		Ask:  func() bool { return d.requestCopy(frame.Ask{Plans: true}) }, Waits: func(time.Duration) bool { return false },
+		Source: d.parts.Plans, IsReader: d.isReader, Share: d.sharePlans, PostTimeout: d.readerTimeout(planTimeout), OnFallback: d.logReaderSilent("plan"), OnCall: d.storeReached,
+		Equal:       plan.Decl.Same,
+		RequestCopy: func() bool { return d.requestCopy(frame.SnapshotRequest{Plans: true}) }, KeepWaiting: func(time.Duration) bool { return false },
 	}).Init()
 	d.endpoints = (&feed.Relay[lease.Info]{
-		Source: d.parts.Endpoints, Reads: d.isReader, Share: d.shareEndpoints, Patience: d.readerTimeout(rosterTimeout), Alone: d.logReaderSilent("endpoints"), Same: lease.Info.Same, Reached: d.storeReached,
-		Ask: func() bool { return d.requestCopy(frame.Ask{Endpoints: true}) }, Waits: d.waitsForCopy,
+		Source: d.parts.Endpoints, IsReader: d.isReader, Share: d.shareEndpoints, PostTimeout: d.readerTimeout(rosterTimeout), OnFallback: d.logReaderSilent("endpoints"), Equal: lease.Info.Same, OnCall: d.storeReached,
+		RequestCopy: func() bool { return d.requestCopy(frame.SnapshotRequest{Endpoints: true}) }, KeepWaiting: d.waitsForCopy,
 	}).Init()
 }
 
@@ -124,11 +124,11 @@
 	return to
 }
 
-func (d *Node) sharePlans(p feed.Post[plan.Decl]) { d.parts.Mesh.Spread(d.neighbours(), planFrame(p)) }
+func (d *Node) sharePlans(p feed.Post[plan.Decl]) { d.parts.Mesh.SendAll(d.neighbours(), planFrame(p)) }
 
-func planFrame(p feed.Post[plan.Decl]) *frame.Planned {
-	m := &frame.Planned{From: p.From, To: p.To, Whole: p.Whole}
-	for _, u := range p.All {
+func planFrame(p feed.Post[plan.Decl]) *frame.PlanUpdate {
+	m := &frame.PlanUpdate{From: p.From, To: p.To, Whole: p.Whole}
+	for _, u := range p.Updates {
 		switch {
 		case u.Gone:
 			m.Gone = append(m.Gone, u.Key)
@@ -143,12 +143,12 @@
 }
 
 func (d *Node) shareEndpoints(p feed.Post[lease.Info]) {
-	d.parts.Mesh.Spread(d.neighbours(), rosterFrame(p))
+	d.parts.Mesh.SendAll(d.neighbours(), rosterFrame(p))
 }
 
-func rosterFrame(p feed.Post[lease.Info]) *frame.Listed {
-	m := &frame.Listed{From: p.From, To: p.To, Whole: p.Whole}
-	for _, u := range p.All {
+func rosterFrame(p feed.Post[lease.Info]) *frame.EndpointUpdate {
+	m := &frame.EndpointUpdate{From: p.From, To: p.To, Whole: p.Whole}
+	for _, u := range p.Updates {
 		switch {
 		case u.Gone, u.Err != nil:
 			m.Gone = append(m.Gone, u.Key)
@@ -160,12 +160,12 @@
 }
 
 // receivePlans applies what another VM read of the configuration.
-func (d *Node) receivePlans(from netip.AddrPort, m *frame.Planned) {
+func (d *Node) receivePlans(from netip.AddrPort, m *frame.PlanUpdate) {
 	if m.Whole {
 		d.log.Info("configuration copy received", "by", from, "at", m.To, "documents", len(m.All), "cordons", m.Cordons)
 	}
 	p := feed.Post[plan.Decl]{From: m.From, To: m.To, Whole: m.Whole}
-	add := func(v plan.Decl) { p.All = append(p.All, feed.Update[plan.Decl]{Key: v.Key(), Value: v}) }
+	add := func(v plan.Decl) { p.Updates = append(p.Updates, feed.Update[plan.Decl]{Key: v.Key(), Value: v}) }
 	for i := range m.All {
 		add(plan.Decl{Plan: &m.All[i]})
 	}
@@ -173,22 +173,22 @@
 		add(plan.Decl{Cordon: domain})
 	}
 	for _, key := range m.Gone {
-		p.All = append(p.All, feed.Update[plan.Decl]{Key: key, Gone: true})
+		p.Updates = append(p.Updates, feed.Update[plan.Decl]{Key: key, Gone: true})
 	}
 	d.plans.Deliver(p)
 }
 
 // receiveEndpoints applies what another VM read of the endpoints.
-func (d *Node) receiveEndpoints(from netip.AddrPort, m *frame.Listed) {
+func (d *Node) receiveEndpoints(from netip.AddrPort, m *frame.EndpointUpdate) {
 	if m.Whole {
 		d.log.Info("endpoints copy received", "by", from, "at", m.To, "endpoints", len(m.All))
 	}
 	p := feed.Post[lease.Info]{From: m.From, To: m.To, Whole: m.Whole}
 	for _, in := range m.All {
-		p.All = append(p.All, feed.Update[lease.Info]{Key: in.ID, Value: in})
+		p.Updates = append(p.Updates, feed.Update[lease.Info]{Key: in.ID, Value: in})
 	}
 	for _, id := range m.Gone {
-		p.All = append(p.All, feed.Update[lease.Info]{Key: id, Gone: true})
+		p.Updates = append(p.Updates, feed.Update[lease.Info]{Key: id, Gone: true})
 	}
 	d.endpoints.Deliver(p)
 }
@@ -275,7 +275,7 @@
 
 // requestCopy asks one of the VMs that are heard for a copy: preferably an owner of endpoints, then one of the own
 // failure domain. It reports whether there was one to ask.
-func (d *Node) requestCopy(m frame.Ask) bool {
+func (d *Node) requestCopy(m frame.SnapshotRequest) bool {
 	var best []netip.AddrPort
 	top := 0
 	for _, p := range d.view.Members() {
@@ -299,16 +299,16 @@
 	if top == 0 {
 		return false
 	}
-	_ = d.parts.Mesh.Cast(best[rand.N(len(best))], &m) // the request is repeated
+	_ = d.parts.Mesh.Send(best[rand.N(len(best))], &m) // the request is repeated
 	return true
 }
 
 // sendCopy answers a VM that asks for a copy, later if this VM has none yet: after a loss of all VMs most are asked
 // before they know anything.
-func (d *Node) sendCopy(to netip.AddrPort, m *frame.Ask) {
+func (d *Node) sendCopy(to netip.AddrPort, m *frame.SnapshotRequest) {
 	if m.Plans {
 		if p, ok := d.plans.Copy(); ok {
-			d.parts.Mesh.Spread([]netip.AddrPort{to}, planFrame(p))
+			d.parts.Mesh.SendAll([]netip.AddrPort{to}, planFrame(p))
 		}
 	}
 	if !m.Endpoints {
@@ -316,7 +316,7 @@
 	}
 	p, ok := d.endpoints.Copy()
 	if ok {
-		d.parts.Mesh.Spread([]netip.AddrPort{to}, rosterFrame(p))
+		d.parts.Mesh.SendAll([]netip.AddrPort{to}, rosterFrame(p))
 		return
 	}
 	d.mu.Lock()
@@ -336,6 +336,6 @@
 		return // copying 540 endpoints every 0.4 s was half of a VM's allocations
 	}
 	if p, ok := d.endpoints.Copy(); ok {
-		d.parts.Mesh.Spread(to, rosterFrame(p))
+		d.parts.Mesh.SendAll(to, rosterFrame(p))
 	}
 }
--- a/internal/edge/serve/resubmit_test.go
+++ b/internal/edge/serve/resubmit_test.go
@@ -26,14 +26,14 @@
 type handRecorder struct {
 	castRecorder
 	down bool // nobody can be reached
-	sent []frame.Hand
+	sent []frame.RunJob
 }
 
-func (h *handRecorder) Cast(to netip.AddrPort, m frame.Msg) error {
+func (h *handRecorder) Send(to netip.AddrPort, m frame.Msg) error {
 	if h.down {
 		return errors.New("not connected")
 	}
-	if m, ok := m.(*frame.Hand); ok {
+	if m, ok := m.(*frame.RunJob); ok {
 		h.to, h.sent = append(h.to, to), append(h.sent, *m)
 	}
 	return nil
@@ -79,7 +79,7 @@
 		now := time.Now()
 		n.mu.Lock()
 		for i := byte(2); i < 4; i++ {
-			n.view.Hear(now, frame.Hello{VM: at(i), Inc: 1, Domain: "a"}, &frame.Beat{At: now})
+			n.view.Hear(now, frame.Hello{VM: at(i), Inc: 1, Domain: "a"}, &frame.Heartbeat{At: now})
 			n.recordLoad(now, at(i), owner.Load{Free: 64, Total: 64}, true, loadRepeat)
 		}
 		n.mu.Unlock()
--- a/internal/edge/serve/settings.go
+++ b/internal/edge/serve/settings.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return s, fmt.Errorf("read settings: %w", err)
 	}
-	if err := valid.Strict(text, &s); err != nil {
+	if err := valid.DecodeStrict(text, &s); err != nil {
 		return s, fmt.Errorf("settings %s: %w", path, &valid.Error{Problems: []valid.Problem{valid.JSONProblem("settings", err)}})
 	}
 	if ps := s.Check(); len(ps) > 0 {
@@ -62,7 +62,7 @@
 func (s *Settings) Check() (ps []valid.Problem) {
 	require := func(ok bool, field string, value any, fix string) {
 		if !ok {
-			ps = append(ps, valid.Problem{Field: field, Wrong: fmt.Sprintf("%v is not usable", value), Mend: fix})
+			ps = append(ps, valid.Problem{Field: field, Wrong: fmt.Sprintf("%v is not usable", value), Fix: fix})
 		}
 	}
 	require(s.Domain != "", "domain", `""`, "name this VM's failure domain")
@@ -78,7 +78,7 @@
 	require(s.Hold.Std() >= 100*time.Millisecond && s.Hold.Std() <= time.Minute, "hold", s.Hold.Std(), "use 100ms to 1m")
 	require(s.Stop.Std() > 0 && s.Stop.Std() <= 10*time.Second, "stop", s.Stop.Std(), "use 1ms to 10s")
 	require(s.Resend.Std() >= minResend && s.Resend.Std() <= time.Minute, "resend", s.Resend.Std(), "use 400ms to 1m")
-	require(s.Stop.Std() <= s.Resend.Std()/lease.StopPart, "stop", s.Stop.Std(), "use at most a fifth of resend, "+(s.Resend.Std()/lease.StopPart).String())
+	require(s.Stop.Std() <= s.Resend.Std()/lease.StopsPerResend, "stop", s.Stop.Std(), "use at most a fifth of resend, "+(s.Resend.Std()/lease.StopsPerResend).String())
 	require(s.Grace.Std() > 0 && s.Grace.Std() <= time.Hour, "grace", s.Grace.Std(), "use 1s to 1h")
 	require(s.RemoteFactor >= 1, "far", s.RemoteFactor, "use 1 or more")
 	_, err := s.seedPeers()
--- a/internal/edge/serve/start_test.go
+++ b/internal/edge/serve/start_test.go
@@ -80,7 +80,7 @@
 	is.Equal(len(sent.to), 1)
 }
 
-func askEndpoints() *frame.Ask { return &frame.Ask{Endpoints: true} }
+func askEndpoints() *frame.SnapshotRequest { return &frame.SnapshotRequest{Endpoints: true} }
 
 // spreadRecorder records the receivers of spread messages.
 type spreadRecorder struct {
@@ -89,7 +89,7 @@
 }
 
 // Spread implements Mesh.
-func (s *spreadRecorder) Spread(to []netip.AddrPort, _ frame.Msg) { s.to = append(s.to, to...) }
+func (s *spreadRecorder) SendAll(to []netip.AddrPort, _ frame.Msg) { s.to = append(s.to, to...) }
 
 // singleEndpoint is a store that lists one endpoint.
 type singleEndpoint struct{}
@@ -100,6 +100,6 @@
 }
 
 // Next implements feed.Source.
-func (singleEndpoint) Next(_ context.Context, from int64, _ feed.Ask) (feed.Batch[lease.Info], error) {
+func (singleEndpoint) Next(_ context.Context, from int64, _ feed.ReadOptions) (feed.Batch[lease.Info], error) {
 	return feed.Batch[lease.Info]{Next: from, End: from}, nil
 }
--- a/internal/edge/serve/stop_test.go
+++ b/internal/edge/serve/stop_test.go
@@ -19,8 +19,8 @@
 	<-ctx.Done()
 	return ctx.Err()
 }
-func (illAgent) Stop(context.Context, agent.Target, lease.Name, uint64) error {
-	return &agent.RefusedError{Why: agent.Ill}
+func (illAgent) Stop(context.Context, agent.Target, lease.RunID, uint64) error {
+	return &agent.RefusedError{Why: agent.Unhealthy}
 }
 func (illAgent) Renew(ctx context.Context, _ agent.Target, _ agent.Renew) (lease.Report, error) {
 	<-ctx.Done()
@@ -37,14 +37,14 @@
 	n, s := newOwningNode(t, illAgent{})
 	ep := s.At
 	n.mu.Lock()
-	n.book.Unsure(time.Now(), ep, s.Run, context.DeadlineExceeded)
-	stop := n.book.Take().Stops[0]
+	n.book.Unanswered(time.Now(), ep, s.Run, context.DeadlineExceeded)
+	stop := n.book.TakeActions().Stops[0]
 	n.mu.Unlock()
 	n.stop(stop)
 	n.mu.Lock()
 	later := time.Now().Add(time.Millisecond)
 	n.book.Renewed(later, later, ep, lease.Report{Clock: 2})
-	_, open := ep.Runs[lease.Name{Task: s.Run.Name, Num: s.Run.Num}]
+	_, open := ep.Runs[lease.RunID{Task: s.Run.Name, Num: s.Run.Num}]
 	n.mu.Unlock()
 	is.True(open) // it may still begin
 	n.Close()
--- a/internal/edge/serve/submit.go
+++ b/internal/edge/serve/submit.go
@@ -63,11 +63,11 @@
 		d.log.Info("request dropped", "job", j.ID, "queue", j.Queue, "why", "its caller has left")
 		return callerLeft
 	}
-	c := &call{n: d.serial.Add(1), job: j, arrived: now, deadline: now.Add(j.Left), timeout: timeout, open: s.Open, done: make(chan struct{})}
+	c := &call{n: d.serial.Add(1), job: j, arrived: now, deadline: now.Add(j.TimeLeft), timeout: timeout, open: s.Open, done: make(chan struct{})}
 	for i := range j.Steps {
 		c.cores = max(c.cores, float64(j.Steps[i].Count)*j.Steps[i].Need.Cores)
 	}
-	d.log.Info("request", "job", j.ID, "queue", j.Queue, "tasks", j.Tasks(), "left", j.Left)
+	d.log.Info("request", "job", j.ID, "queue", j.Queue, "tasks", j.Tasks(), "left", j.TimeLeft)
 	now = d.lock()
 	d.noteWait(c)
 	if old := d.byID[j.ID]; old != nil {
@@ -82,7 +82,7 @@
 	}
 	d.perform()
 	d.mu.Unlock()
-	t := time.NewTimer(j.Left)
+	t := time.NewTimer(j.TimeLeft)
 	defer t.Stop()
 	select {
 	case <-c.done:
@@ -92,7 +92,7 @@
 		d.abandonCall(c, job.Answer{Outcome: job.Unknown, Reason: job.Deadline, Detail: "its time ran out"})
 	}
 	d.log.Info("answer", "job", j.ID, "queue", j.Queue, "outcome", c.answer.Outcome.String(), "reason", string(c.answer.Reason), "owner", c.owner, "tried", len(c.tried), "took", d.now().Sub(now).Round(time.Millisecond), "retry", c.answer.Retry, "detail", c.answer.Detail)
-	d.parts.Meter.Answered(j.Queue, fmt.Sprint(j.Rank), &c.answer, d.now().Sub(now), 0)
+	d.parts.Meter.ObserveJob(j.Queue, fmt.Sprint(j.Rank), &c.answer, d.now().Sub(now), 0)
 	return c.answer
 }
 
@@ -105,10 +105,10 @@
 	if c.timeout <= 0 {
 		return
 	}
-	work := c.job.Chain(func(s *batch.Step) time.Duration { return s.Run })
-	c.job.Waited = d.waits.Note(c.job.Queue, c.timeout+c.job.Aim(work), c.job.Left)
+	work := c.job.CriticalPath(func(s *batch.Step) time.Duration { return s.Run })
+	c.job.Waited = d.waits.Observe(c.job.Queue, c.timeout+c.job.Objective(work), c.job.TimeLeft)
 	if c.job.Waited > 0 {
-		d.log.Info("caller waited elsewhere", "job", c.job.ID, "queue", c.job.Queue, "left", c.job.Left, "waited", c.job.Waited)
+		d.log.Info("caller waited elsewhere", "job", c.job.ID, "queue", c.job.Queue, "left", c.job.TimeLeft, "waited", c.job.Waited)
 	}
 }
 
@@ -123,8 +123,8 @@
 	if q == nil {
 		return nil, 0, job.Refuse(job.NoQueue, 0, "%s%s is no queue of version %d", s.Host, s.Path, p.Version)
 	}
-	if s.Refused != "" {
-		return nil, 0, job.Refuse(job.Unsupported, 0, "%s", s.Refused)
+	if s.Unsupported != "" {
+		return nil, 0, job.Refuse(job.Unsupported, 0, "%s", s.Unsupported)
 	}
 	if q.Advised {
 		return nil, 0, job.Refuse(job.Unsupported, 0, "queues with an adviser are not served yet")
@@ -132,12 +132,12 @@
 	j = &s.Job
 	j.ID = s.Path[len(q.Prefix):]
 	j.Queue, j.Pool, j.Rank, j.Attempts, j.Stretch, j.Slack = q.Name, q.Pool, q.Rank, q.Attempts, q.Stretch, q.Slack
-	j.Left = maxJobTime
+	j.TimeLeft = maxJobTime
 	if q.Timeout > 0 {
-		j.Left = min(j.Left, q.Timeout)
+		j.TimeLeft = min(j.TimeLeft, q.Timeout)
 	}
 	if s.Left > 0 {
-		j.Left = min(maxJobTime, s.Left)
+		j.TimeLeft = min(maxJobTime, s.Left)
 		timeout = q.Timeout
 	}
 	if err := j.Check(); err != nil {
@@ -152,8 +152,8 @@
 		d.finishCall(c, callerLeft)
 		return
 	}
-	for len(c.tried) < route.Tries {
-		vm := d.routes.Pick(now, c.job.Rank, c.cores, c.tried, d.pace.Usual())
+	for len(c.tried) < route.MaxTries {
+		vm := d.routes.Pick(now, c.job.Rank, c.cores, c.tried, d.pace.MeanTime())
 		if !vm.IsValid() {
 			break
 		}
@@ -164,14 +164,14 @@
 		if err := d.assignTo(now, vm, c); err != nil {
 			d.log.Info("owner unreachable", "job", c.job.ID, "owner", vm, "err", err)
 			if !errors.Is(err, errUnheard) {
-				d.routes.Down(vm, now)
+				d.routes.MarkUnreachable(vm, now)
 			}
 			continue
 		}
 		return
 	}
 	a := c.answer
-	if (len(c.tried) == 0 || d.ownersMissing(now)) && now.Sub(c.arrived) < ownerWait && !d.claims.Defers() {
+	if (len(c.tried) == 0 || d.ownersMissing(now)) && now.Sub(c.arrived) < ownerWait && !d.claims.Deferring() {
 		c.tried, c.owner = c.tried[:0], netip.AddrPort{}
 		d.parked = append(d.parked, c)
 		return
@@ -203,7 +203,7 @@
 	c.tried = append(c.tried, vm)
 	c.owner = vm
 	j := *c.job // the call keeps the job as it arrived
-	j.Age, j.Left = now.Sub(c.arrived), c.deadline.Sub(now)
+	j.Age, j.TimeLeft = now.Sub(c.arrived), c.deadline.Sub(now)
 	if vm == d.cfg.VM {
 		d.book.Submit(now, owner.Key{VM: vm, Inc: d.cfg.Inc, Call: c.n}, &j)
 		return nil
@@ -211,7 +211,7 @@
 	if err := d.handOver(now, vm, c, &j); err != nil {
 		return fmt.Errorf("assign to owner: %w", err)
 	}
-	d.routes.Sent(vm, c.cores)
+	d.routes.RecordSent(vm, c.cores)
 	return nil
 }
 
@@ -224,8 +224,8 @@
 	if p == nil {
 		return fmt.Errorf("hand over to %s: %w", vm, errUnheard)
 	}
-	j.Asked, c.handedAt = p.Theirs(now), now
-	if err := d.parts.Mesh.Cast(vm, &frame.Hand{To: p.Inc, Call: c.n, Job: *j}); err != nil {
+	j.AskedAt, c.handedAt = p.Theirs(now), now
+	if err := d.parts.Mesh.Send(vm, &frame.RunJob{To: p.Inc, Call: c.n, Job: *j}); err != nil {
 		return fmt.Errorf("hand over: %w", err)
 	}
 	return nil
@@ -317,7 +317,7 @@
 		return
 	}
 	if c.owner.IsValid() {
-		if err := d.parts.Mesh.Cast(c.owner, &frame.Drop{At: d.now(), Call: c.n}); err != nil {
+		if err := d.parts.Mesh.Send(c.owner, &frame.CancelJob{At: d.now(), Call: c.n}); err != nil {
 			d.log.Info("cancel not sent to owner", "job", c.job.ID, "owner", c.owner, "err", err) // the owner ends the job once keepalives stop
 		}
 	}
--- a/internal/edge/wire/conn.go
+++ b/internal/edge/wire/conn.go
@@ -58,7 +58,7 @@
 	req.Header.SetRequestURI(runPath)
 	req.Header.SetHost(at.String())
 	req.Header.SetContentType("application/json")
-	req.Header.Set(AttemptHeader, x.Attempt)
+	req.Header.Set(AttemptHeader, x.AttemptID)
 	req.Header.SetContentLength(len(x.Body))
 	if probe {
 		req.Header.Set(fasthttp.HeaderExpect, "100-continue")
@@ -67,7 +67,7 @@
 		}
 	}
 	if !x.Begin() {
-		return flow.Result{Ending: flow.Unsent}, false
+		return flow.Result{Status: flow.Unsent}, false
 	}
 	return c.send(req, x, probe)
 }
@@ -75,7 +75,7 @@
 // awaitContinue sends the request header and waits for the status 100 Continue.
 func (c *conn) awaitContinue(req *fasthttp.Request) (flow.Result, bool) {
 	silent := func(err error) (flow.Result, bool) {
-		return flow.Result{Ending: flow.Unsent, Err: fmt.Errorf("%w: %w", errNoContinue, err)}, false
+		return flow.Result{Status: flow.Unsent, Err: fmt.Errorf("%w: %w", errNoContinue, err)}, false
 	}
 	if err := c.SetDeadline(time.Now().Add(continueTimeout)); err != nil {
 		return silent(err)
@@ -94,14 +94,14 @@
 		return flow.Result{}, true
 	}
 	leaving := string(head.Peek(LeavingHeader)) == "yes"
-	return flow.Result{Ending: flow.Refused, Leaving: leaving, Err: fmt.Errorf("%w: %d", errStatus, head.StatusCode())}, false
+	return flow.Result{Status: flow.Refused, Leaving: leaving, Err: fmt.Errorf("%w: %d", errStatus, head.StatusCode())}, false
 }
 
 func (c *conn) send(req *fasthttp.Request, x flow.Exchange, headSent bool) (flow.Result, bool) {
 	lost := func(err error) (flow.Result, bool) {
-		return flow.Result{Ending: flow.Lost, Err: err}, false
+		return flow.Result{Status: flow.Lost, Err: err}, false
 	}
-	if err := c.SetDeadline(x.Until); err != nil {
+	if err := c.SetDeadline(x.Deadline); err != nil {
 		return lost(err)
 	}
 	if !headSent {
@@ -131,13 +131,13 @@
 	code := resp.StatusCode()
 	switch {
 	case code == fasthttp.StatusOK:
-		r.Ending = flow.Ran
+		r.Status = flow.Ran
 		r.Body = append([]byte{}, resp.Body()...)
 	case string(resp.Header.Peek(StartedHeader)) == "no":
-		r.Ending = flow.Refused
+		r.Status = flow.Refused
 		r.Err = fmt.Errorf("%w: %d", errStatus, code)
 	default:
-		r.Ending = flow.RanBadly
+		r.Status = flow.Failed
 		r.Err = fmt.Errorf("%w: %d: %.100s", errStatus, code, resp.Body())
 	}
 	return r, keep
--- a/internal/edge/wire/pool.go
+++ b/internal/edge/wire/pool.go
@@ -46,7 +46,7 @@
 	for {
 		c, fresh, err := p.get(ctx, at)
 		if err != nil {
-			return flow.Result{Ending: flow.Unsent, Err: err}
+			return flow.Result{Status: flow.Unsent, Err: err}
 		}
 		r, keep := c.exchange(at, x, !fresh)
 		now := time.Now()
@@ -58,10 +58,10 @@
 			p.drop(c)
 		}
 		switch {
-		case r.Ending == flow.Unsent && errors.Is(r.Err, errNoContinue):
+		case r.Status == flow.Unsent && errors.Is(r.Err, errNoContinue):
 			p.closeStale(at, c.lastAnswer) // no task was sent: try the next connection
 			continue
-		case r.Ending == flow.Lost:
+		case r.Status == flow.Lost:
 			p.closeStale(at, c.lastAnswer)
 		}
 		return r
@@ -140,7 +140,7 @@
 
 // Ask implements flow.Runner. It opens a new connection, because an answer on one
 // connection proves nothing about the others.
-func (p *Pool) Ask(ctx context.Context, at netip.AddrPort) (leaving bool, err error) {
+func (p *Pool) Probe(ctx context.Context, at netip.AddrPort) (leaving bool, err error) {
 	raw, err := p.dial(ctx, at)
 	if err != nil {
 		return false, err
--- a/internal/edge/wire/pool_test.go
+++ b/internal/edge/wire/pool_test.go
@@ -123,7 +123,7 @@
 
 func exchange(name string, run time.Duration, began *atomic.Int64) flow.Exchange {
 	return flow.Exchange{
-		Attempt: name, Body: fakes.Task{Job: name, Run: valid.Span(run)}.Encode(), Until: time.Now().Add(10 * time.Second),
+		AttemptID: name, Body: fakes.Task{Job: name, Run: valid.Span(run)}.Encode(), Deadline: time.Now().Add(10 * time.Second),
 		Begin: func() bool {
 			if began != nil {
 				began.Add(1)
@@ -151,7 +151,7 @@
 				wg.Go(func() {
 					r := p.Run(t.Context(), at, exchange(name+string(rune('a'+i)), d, nil))
 					mu.Lock()
-					ended[r.Ending]++
+					ended[r.Status]++
 					mu.Unlock()
 				})
 			}
@@ -182,7 +182,7 @@
 		defer p.Close()
 		for range 10 {
 			r := p.Run(t.Context(), h.e.Addr, exchange("again", 10*time.Millisecond, nil))
-			is.Equal(r.Ending, flow.Ran)
+			is.Equal(r.Status, flow.Ran)
 		}
 		is.Equal(h.dials, 1)
 		idle, busy := p.ConnCounts(h.e.Addr)
@@ -203,27 +203,27 @@
 		runOne := func(x flow.Exchange) flow.Result { return p.Run(t.Context(), h.e.Addr, x) }
 		x := exchange("bad", time.Millisecond, nil)
 		x.Body = []byte(`{"job":"bad","run":"1ms","fail":true}`)
-		is.Equal(runOne(x).Ending, flow.RanBadly)
+		is.Equal(runOne(x).Status, flow.Failed)
 		x = exchange("unwanted", time.Millisecond, nil)
 		x.Begin = func() bool { return false }
-		is.Equal(runOne(x).Ending, flow.Unsent)
+		is.Equal(runOne(x).Status, flow.Unsent)
 		x = exchange("late", time.Second, nil)
-		x.Until = time.Now().Add(100 * time.Millisecond)
-		is.Equal(runOne(x).Ending, flow.Lost)
+		x.Deadline = time.Now().Add(100 * time.Millisecond)
+		is.Equal(runOne(x).Status, flow.Lost)
 		time.Sleep(time.Second)
 		h.e.Leave()
 		var began atomic.Int64
 		r := runOne(exchange("leaving", time.Millisecond, &began))
-		is.Equal(r.Ending, flow.Refused)
+		is.Equal(r.Status, flow.Refused)
 		is.True(r.Leaving)
 		is.Equal(w.n["unwanted"]+w.n["leaving"], 0)
-		leaving, err := p.Ask(t.Context(), h.e.Addr)
+		leaving, err := p.Probe(t.Context(), h.e.Addr)
 		is.NoErr(err)
 		is.True(leaving)
 		is.NoErr(h.l.Close())
 		time.Sleep(idleTimeout)
 		r = runOne(exchange("gone", time.Millisecond, nil))
-		is.Equal(r.Ending, flow.Unsent)
+		is.Equal(r.Status, flow.Unsent)
 		is.True(r.Err != nil && strings.Contains(r.Err.Error(), "connect"))
 	})
 }
--- a/internal/mesh/claim/balance.go
+++ b/internal/mesh/claim/balance.go
@@ -8,7 +8,7 @@
 )
 
 // countUnits counts the units of this failure domain that each VM owns, according to heartbeats.
-func (t *Book) countUnits(candidates []Seat, peers []Peer) {
+func (t *Table) countUnits(candidates []Candidate, peers []Peer) {
 	clear(t.units)
 	var unit [64]int // by shard of this domain; -1 if there is none
 	for i := range unit {
@@ -20,7 +20,7 @@
 			continue
 		}
 		unit[s.Shard] = s.Unit
-		if o := t.owned[s.Group]; o != nil && !o.Giving && !counted[s.Unit] {
+		if o := t.owned[s.Group]; o != nil && !o.HandingOver && !counted[s.Unit] {
 			counted[s.Unit] = true
 			t.units[t.self]++
 		}
@@ -45,7 +45,7 @@
 }
 
 // load returns the units per core of a VM of this domain if it gets extra units.
-func (t *Book) load(vm netip.AddrPort, power float64, extra int) float64 {
+func (t *Table) load(vm netip.AddrPort, power float64, extra int) float64 {
 	if power <= 0 {
 		power = 1
 	}
@@ -54,7 +54,7 @@
 
 // leastLoaded returns the VM of this domain with the lowest load after one more unit, among healthy ones that
 // have been up for stableAfter. Ties are broken by hash weight.
-func (t *Book) leastLoaded(now time.Time, key string, peers []Peer, except netip.AddrPort) (best netip.AddrPort, least float64) {
+func (t *Table) leastLoaded(now time.Time, key string, peers []Peer, except netip.AddrPort) (best netip.AddrPort, least float64) {
 	topWeight := 0.0
 	consider := func(vm netip.AddrPort, power float64) {
 		c, w := t.load(vm, power, 1), weight(key, vm, power)
@@ -80,7 +80,7 @@
 // lifetime and can't keep up with a burst while its neighbours are idle: jobs of one owner are late. Hashing alone
 // gives one of five VMs three of six units. An owner moves one unit at a time, and only after stableAfter
 // without changes, so that a VM that restarts repeatedly gets none.
-func (t *Book) surplusUnit(now time.Time, candidates []Seat, peers []Peer) (unit string) {
+func (t *Table) surplusUnit(now time.Time, candidates []Candidate, peers []Peer) (unit string) {
 	if t.units[t.self] < 2 {
 		return ""
 	}
@@ -88,7 +88,7 @@
 		o := t.owned[g.Group]
 		switch {
 		case o == nil || g.Domain != t.domain:
-		case o.Giving || now.Sub(o.since) < stableAfter:
+		case o.HandingOver || now.Sub(o.since) < stableAfter:
 			return ""
 		case unit == "" || g.key() < unit:
 			unit = g.key()
@@ -102,7 +102,7 @@
 
 // successor returns the VM that takes over a group which its owner hands over without leaving. It is invalid
 // if there is no such owner, or the group belongs to another domain.
-func (t *Book) successor(now time.Time, g Seat, peers []Peer, from netip.AddrPort) (vm netip.AddrPort) {
+func (t *Table) successor(now time.Time, g Candidate, peers []Peer, from netip.AddrPort) (vm netip.AddrPort) {
 	ownerStays := slices.ContainsFunc(peers, func(p Peer) bool { return p.VM == from && p.Domain == t.domain && !p.Leaving })
 	if !ownerStays || g.Domain != t.domain {
 		return vm
--- a/internal/mesh/claim/balance_test.go
+++ b/internal/mesh/claim/balance_test.go
@@ -13,21 +13,21 @@
 
 // cluster simulates the VMs of one failure domain, which all hear each other in each round.
 type cluster struct {
-	tables       map[netip.AddrPort]*Book
+	tables       map[netip.AddrPort]*Table
 	power        map[netip.AddrPort]float64
-	candidates   []Seat
+	candidates   []Candidate
 	moves        int // number of groups handed over
 	maxClaimants int // most VMs that claimed one group in a round
 }
 
 func newCluster(units int, powers ...float64) *cluster {
-	d := &cluster{tables: map[netip.AddrPort]*Book{}, power: map[netip.AddrPort]float64{}}
+	d := &cluster{tables: map[netip.AddrPort]*Table{}, power: map[netip.AddrPort]float64{}}
 	for i, p := range powers {
 		vm := netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:1", i+1))
 		d.tables[vm], d.power[vm] = New(vm, "x", p, t0), p
 	}
 	for i := range 32 {
-		d.candidates = append(d.candidates, Seat{Group: Group{"x", uint8(i)}, Unit: i * units / 32})
+		d.candidates = append(d.candidates, Candidate{Group: Group{"x", uint8(i)}, Unit: i * units / 32})
 	}
 	return d
 }
@@ -39,7 +39,7 @@
 		p := Peer{VM: vm, Domain: "x", Live: true, Since: t0, Power: float64(float32(d.power[vm]))}
 		for _, g := range b.Groups() {
 			o := b.Owns(g)
-			p.Claims = append(p.Claims, frame.Claim{Domain: "x", Shards: 1 << g.Shard, Fence: o.Fence, Giving: o.Giving})
+			p.Claims = append(p.Claims, frame.Claim{Domain: "x", Shards: 1 << g.Shard, Fence: o.Fence, Giving: o.HandingOver})
 		}
 		peers = append(peers, p)
 	}
@@ -53,7 +53,7 @@
 		}
 		for _, c := range b.Decide(now, false, d.candidates, others) {
 			switch {
-			case c.Giving:
+			case c.HandingOver:
 				d.moves++
 			case !c.Lost:
 				claimed[c.Group]++
--- a/internal/mesh/claim/choose.go
+++ b/internal/mesh/claim/choose.go
@@ -11,7 +11,7 @@
 // best returns the VM that should own an unowned group, by rendezvous hashing weighted by power, so that
 // the groups of a lost VM spread over all others. VMs of the group's own failure domain come first, then
 // those of its fallback domain, then any. A group handed over by a VM that stays goes to the least loaded neighbour.
-func (t *Book) best(now time.Time, g Seat, peers []Peer, from netip.AddrPort) (best netip.AddrPort) {
+func (t *Table) best(now time.Time, g Candidate, peers []Peer, from netip.AddrPort) (best netip.AddrPort) {
 	if vm := t.successor(now, g, peers, from); vm.IsValid() {
 		return vm
 	}
@@ -51,7 +51,7 @@
 // from each other, and jobs on them would fail; the logs show groups dropped for a higher fence. Every VM
 // knows some VMs of each domain and all of its own, so all agree on the fallback domain, and its VMs agree
 // on the owner.
-func (t *Book) fallbackDomain(key string, peers []Peer) (best string) {
+func (t *Table) fallbackDomain(key string, peers []Peer) (best string) {
 	topHash := uint64(0)
 	consider := func(domain string) {
 		if w := xxhash.Sum64String(key + "|" + domain); best == "" || w > topHash {
--- a/internal/mesh/claim/claim.go
+++ b/internal/mesh/claim/claim.go
@@ -47,20 +47,20 @@
 }
 
 // Ownership is this VM's claim on a group.
-type Own struct {
-	Fence  uint64
-	Giving bool
-	since  time.Time
+type Ownership struct {
+	Fence       uint64
+	HandingOver bool
+	since       time.Time
 }
 
 // Table holds this VM's claims. It is not safe for concurrent use.
-type Book struct {
+type Table struct {
 	self     netip.AddrPort
 	domain   string
 	power    float64
 	began    time.Time
 	maxFence uint64 // highest fence seen or used
-	owned    map[Group]*Own
+	owned    map[Group]*Ownership
 	backoffs map[Group]*backoff
 	listRead bool // the store's list of VMs has been read
 	// strained is set while this VM's messages reach the others late.
@@ -98,17 +98,17 @@
 )
 
 // New returns a table without claims.
-func New(self netip.AddrPort, domain string, power float64, now time.Time) *Book {
+func New(self netip.AddrPort, domain string, power float64, now time.Time) *Table {
 	// Rounded as in heartbeats, so that this VM computes the same weight for itself as others do.
 	power = float64(float32(power))
-	return &Book{self: self, domain: domain, power: power, began: now, owned: map[Group]*Own{}, backoffs: map[Group]*backoff{}, claims: map[Group]claimant{}, units: map[netip.AddrPort]int{}}
+	return &Table{self: self, domain: domain, power: power, began: now, owned: map[Group]*Ownership{}, backoffs: map[Group]*backoff{}, claims: map[Group]claimant{}, units: map[netip.AddrPort]int{}}
 }
 
 // Owns returns this VM's claim on a group, or nil.
-func (t *Book) Owns(g Group) *Own { return t.owned[g] }
+func (t *Table) Owns(g Group) *Ownership { return t.owned[g] }
 
 // Groups returns the owned groups, sorted by domain and fence.
-func (t *Book) Groups() []Group {
+func (t *Table) Groups() []Group {
 	gs := make([]Group, 0, len(t.owned))
 	for g := range t.owned {
 		gs = append(gs, g)
@@ -120,7 +120,7 @@
 }
 
 // NextFence returns a fence that is above all known ones and differs from those of other VMs.
-func (t *Book) NextFence(now time.Time) uint64 {
+func (t *Table) NextFence(now time.Time) uint64 {
 	low := xxhash.Sum64String(t.self.String()) & (1<<fenceLowBits - 1)
 	f := uint64(now.UnixMilli())<<fenceLowBits | low
 	if f <= t.maxFence {
@@ -131,14 +131,14 @@
 }
 
 // Raise records that a fence was too low, though no higher one is known.
-func (t *Book) Raise(fence uint64) { t.maxFence = max(t.maxFence, fence+fenceStep) }
+func (t *Table) Raise(fence uint64) { t.maxFence = max(t.maxFence, fence+fenceStep) }
 
 // Drop removes the claim on a group.
-func (t *Book) Drop(g Group) { delete(t.owned, g) }
+func (t *Table) Drop(g Group) { delete(t.owned, g) }
 
 // BackOff drops the claim on a group that another VM owns and returns how long this VM won't claim it
 // again. The time doubles with each call.
-func (t *Book) Shun(now time.Time, g Group) time.Duration {
+func (t *Table) BackOff(now time.Time, g Group) time.Duration {
 	delete(t.owned, g)
 	r := t.backoffs[g]
 	if r == nil {
@@ -150,18 +150,18 @@
 	return d
 }
 
-func (t *Book) backingOff(now time.Time, g Seat) bool {
+func (t *Table) backingOff(now time.Time, g Candidate) bool {
 	r := t.backoffs[g.Group]
 	return r != nil && now.Before(r.until)
 }
 
 // Change is a decision about a group.
 type Change struct {
-	Group  Group
-	Fence  uint64
-	Giving bool   // hand the group over
-	Lost   bool   // another VM owns it
-	Why    string // for the log
+	Group       Group
+	Fence       uint64
+	HandingOver bool   // hand the group over
+	Lost        bool   // another VM owns it
+	Why         string // for the log
 }
 
 // Group identifies a group of endpoints that has one owner.
@@ -173,15 +173,15 @@
 func (g Group) String() string { return g.Domain + "/" + strconv.Itoa(int(g.Shard)) }
 
 // Candidate is a group that this VM owns or may claim.
-type Seat struct {
+type Candidate struct {
 	Group
 	Unit int // groups of one unit should have the same owner
 }
 
-func (s Seat) key() string { return s.Domain + "#" + strconv.Itoa(s.Unit) }
+func (s Candidate) key() string { return s.Domain + "#" + strconv.Itoa(s.Unit) }
 
 // Decide runs one round over all candidates and returns the changes.
-func (t *Book) Decide(now time.Time, leaving bool, candidates []Seat, peers []Peer) (changes []Change) {
+func (t *Table) Decide(now time.Time, leaving bool, candidates []Candidate, peers []Peer) (changes []Change) {
 	clear(t.claims)
 	addClaims(t.claims, peers)
 	for _, p := range peers {
@@ -197,9 +197,9 @@
 	for _, g := range candidates {
 		current := t.claims[g.Group]
 		if mine := t.owned[g.Group]; mine != nil {
-			if surplus != "" && g.key() == surplus && !mine.Giving {
-				mine.Giving = true
-				changes = append(changes, Change{Group: g.Group, Fence: mine.Fence, Giving: true, Why: "a neighbour has a lower load"})
+			if surplus != "" && g.key() == surplus && !mine.HandingOver {
+				mine.HandingOver = true
+				changes = append(changes, Change{Group: g.Group, Fence: mine.Fence, HandingOver: true, Why: "a neighbour has a lower load"})
 				continue
 			}
 			if c, ok := t.review(now, g, mine, current, leaving, handOver, peers); ok {
@@ -213,14 +213,14 @@
 		if fence == 0 {
 			fence = t.NextFence(now)
 		}
-		t.owned[g.Group] = &Own{Fence: fence, since: now}
+		t.owned[g.Group] = &Ownership{Fence: fence, since: now}
 		changes = append(changes, Change{Group: g.Group, Fence: fence, Why: "no VM owns it"})
 	}
 	return changes
 }
 
 // canHandOver reports whether this VM is strained and a neighbour can take its groups.
-func (t *Book) canHandOver(peers []Peer) bool {
+func (t *Table) canHandOver(peers []Peer) bool {
 	return t.strained && slices.ContainsFunc(peers, func(p Peer) bool { return p.Domain == t.domain && p.healthy() })
 }
 
@@ -228,32 +228,32 @@
 func (p Peer) healthy() bool { return p.Live && !p.Silent && !p.Leaving && !p.Strained }
 
 // SetListRead records that the store's list of VMs has been read: all neighbours are known.
-func (t *Book) Listed() { t.listRead = true }
+func (t *Table) SetListRead() { t.listRead = true }
 
 // review decides whether to give up or hand over a group that this VM owns.
-func (t *Book) review(now time.Time, g Seat, mine *Own, current claimant, leaving, handOver bool, peers []Peer) (Change, bool) {
+func (t *Table) review(now time.Time, g Candidate, mine *Ownership, current claimant, leaving, handOver bool, peers []Peer) (Change, bool) {
 	switch {
-	case current.owned && current.outranks(mine.Fence, t.self) && !mine.Giving:
+	case current.owned && current.outranks(mine.Fence, t.self) && !mine.HandingOver:
 		delete(t.owned, g.Group)
 		return Change{Group: g.Group, Fence: current.fence, Lost: true, Why: "a VM has a higher fence"}, true
-	case mine.Giving:
+	case mine.HandingOver:
 		return Change{}, false
 	case leaving:
-		mine.Giving = true
-		return Change{Group: g.Group, Fence: mine.Fence, Giving: true, Why: "this VM leaves"}, true
+		mine.HandingOver = true
+		return Change{Group: g.Group, Fence: mine.Fence, HandingOver: true, Why: "this VM leaves"}, true
 	case handOver:
-		mine.Giving = true
-		return Change{Group: g.Group, Fence: mine.Fence, Giving: true, Why: "this VM's messages are late"}, true
+		mine.HandingOver = true
+		return Change{Group: g.Group, Fence: mine.Fence, HandingOver: true, Why: "this VM's messages are late"}, true
 	case g.Domain != t.domain && domainRecovered(now, g, peers):
-		mine.Giving = true
-		return Change{Group: g.Group, Fence: mine.Fence, Giving: true, Why: "its own domain has a VM again"}, true
+		mine.HandingOver = true
+		return Change{Group: g.Group, Fence: mine.Fence, HandingOver: true, Why: "its own domain has a VM again"}, true
 	default:
 		return Change{}, false
 	}
 }
 
 // domainRecovered reports whether a VM of the group's own domain has been up for handBackAfter.
-func domainRecovered(now time.Time, g Seat, peers []Peer) bool {
+func domainRecovered(now time.Time, g Candidate, peers []Peer) bool {
 	return slices.ContainsFunc(peers, func(p Peer) bool {
 		return p.Live && !p.Leaving && p.Domain == g.Domain && now.Sub(p.Since) >= handBackAfter
 	})
@@ -272,7 +272,7 @@
 
 // HasActiveVM reports whether a VM of a failure domain is heard and not leaving: it will claim the
 // unowned groups there.
-func Headed(domain string, peers []Peer) bool {
+func HasActiveVM(domain string, peers []Peer) bool {
 	return slices.ContainsFunc(peers, func(p Peer) bool { return p.Domain == domain && p.Live && !p.Silent && !p.Leaving })
 }
 
--- a/internal/mesh/claim/claim_test.go
+++ b/internal/mesh/claim/claim_test.go
@@ -15,7 +15,7 @@
 	t0 = time.Unix(1_700_000_000, 0)
 	a  = netip.MustParseAddrPort("10.0.0.1:1")
 	b  = netip.MustParseAddrPort("10.0.0.2:1")
-	gs = []Seat{{Group: x}, {Group: y}}
+	gs = []Candidate{{Group: x}, {Group: y}}
 	x  = Group{Domain: "x"}
 	y  = Group{Domain: "y"}
 )
@@ -49,12 +49,12 @@
 	is := is.New(t)
 	table := New(a, "x", 1, t0)
 	heard, silent := []Peer{{VM: b, Domain: "x", Live: true}}, []Peer{{VM: b, Domain: "x", Listed: true}}
-	all := make([]Seat, 0, 16)
+	all := make([]Candidate, 0, 16)
 	for n := range uint8(16) { // of 16 units at least one belongs here
-		all = append(all, Seat{Group: Group{Domain: "x", Shard: n}, Unit: int(n)})
+		all = append(all, Candidate{Group: Group{Domain: "x", Shard: n}, Unit: int(n)})
 	}
 	is.Equal(len(table.Decide(t0.Add(settleKnown), false, all, heard)), 0) // list not read yet
-	table.Listed()
+	table.SetListRead()
 	is.Equal(len(table.Decide(t0.Add(settleKnown), false, all, nil)), 0) // a neighbour may not be listed yet
 	is.Equal(len(table.Decide(t0.Add(settleKnown), false, all, silent)), 0)
 	is.Equal(len(table.Decide(t0.Add(settleKnown-1), false, all, heard)), 0)
@@ -66,7 +66,7 @@
 func TestClaimSkipsAbsentNeighbour(t *testing.T) {
 	is := is.New(t)
 	table := New(a, "x", 1, t0)
-	table.Listed()
+	table.SetListRead()
 	peers := []Peer{{VM: b, Domain: "x", Listed: true, Absent: true}}
 	is.Equal(len(table.Decide(t0.Add(settleKnown-1), false, gs[:1], peers)), 0)
 	is.Equal(len(table.Decide(t0.Add(settleKnown), false, gs[:1], peers)), 1)
@@ -87,7 +87,7 @@
 	table := New(a, "x", 1, t0)
 	c := netip.MustParseAddrPort("10.0.0.3:1")
 	peers := []Peer{{VM: b, Domain: "y", Listed: true, Absent: true}, {VM: c, Domain: "z", Listed: true, Absent: true}}
-	other := []Seat{{Group: y}}
+	other := []Candidate{{Group: y}}
 	at := t0.Add(settleOther)
 	is.Equal(len(table.Decide(at, false, other, peers)), 0)
 	peers[1] = Peer{VM: c, Domain: "z", Live: true}
@@ -105,9 +105,9 @@
 	is := is.New(t)
 	table := New(a, "x", 1, t0)
 	at := t0.Add(time.Hour)
-	table.Isolate(true)
+	table.SetIsolated(true)
 	is.Equal(len(table.Decide(at, false, gs, nil)), 0)
-	table.Isolate(false)
+	table.SetIsolated(false)
 	is.Equal(len(table.Decide(at.Add(rejoinDelay-1), false, gs, nil)), 0)
 	is.Equal(len(table.Decide(at.Add(rejoinDelay), false, gs, nil)), 2)
 }
@@ -147,7 +147,7 @@
 	tableA.Decide(t0.Add(settleOwn), false, gs[:1], nil)
 	tableB.Decide(t0.Add(settleOwn), false, gs[:1], nil)
 	tableB.Owns(x).Fence = tableA.Owns(x).Fence
-	peerWith := func(vm netip.AddrPort, table *Book) []Peer {
+	peerWith := func(vm netip.AddrPort, table *Table) []Peer {
 		return []Peer{{VM: vm, Domain: "x", Live: true, Claims: []frame.Claim{{Domain: "x", Shards: 1, Fence: table.Owns(x).Fence}}}}
 	}
 	peerA, peerB := peerWith(a, tableA), peerWith(b, tableB)
@@ -164,10 +164,10 @@
 	is.Equal(len(table.Decide(t0.Add(settleOther), false, gs, home)), 0) // it has just started
 	cs := table.Decide(t0.Add(handBackAfter), false, gs, home)
 	is.Equal(len(cs), 1)
-	is.True(cs[0].Giving && cs[0].Group == y)
+	is.True(cs[0].HandingOver && cs[0].Group == y)
 	cs = table.Decide(t0.Add(handBackAfter), true, gs, home)
 	is.Equal(len(cs), 1)
-	is.True(cs[0].Giving && cs[0].Group == x)
+	is.True(cs[0].HandingOver && cs[0].Group == x)
 }
 
 func TestFencesRiseOverClockSteps(t *testing.T) {
@@ -186,7 +186,7 @@
 	table := New(a, "x", 0.2, t0)
 	strong := 0
 	for i := range 400 {
-		g := Seat{Group: x, Unit: i}
+		g := Candidate{Group: x, Unit: i}
 		if table.best(t0, g, []Peer{{VM: b, Domain: "x", Live: true, Power: 0.8}}, netip.AddrPort{}) == b {
 			strong++
 		}
@@ -201,23 +201,23 @@
 	table := New(a, "x", 1, t0)
 	now := t0.Add(settleOther)
 	is.Equal(len(table.Decide(now, false, gs[1:], nil)), 1)
-	wait := table.Shun(now, y)
+	wait := table.BackOff(now, y)
 	is.Equal(wait, minBackoff)
 	is.Equal(len(table.Decide(now.Add(wait-1), false, gs[1:], nil)), 0)
 	is.Equal(len(table.Decide(now.Add(wait), false, gs[1:], nil)), 1)
-	is.Equal(table.Shun(now, y), 2*minBackoff)
+	is.Equal(table.BackOff(now, y), 2*minBackoff)
 }
 
 func TestClaimsOfOneRoundShareAFence(t *testing.T) {
 	is := is.New(t)
 	table := New(a, "x", 1, t0)
-	many := []Seat{{Group: Group{"x", 0}}, {Group: Group{"x", 1}, Unit: 1}, {Group: Group{"x", 31}, Unit: 3}}
+	many := []Candidate{{Group: Group{"x", 0}}, {Group: Group{"x", 1}, Unit: 1}, {Group: Group{"x", 31}, Unit: 3}}
 	cs := table.Decide(t0.Add(settleOwn), false, many, nil)
 	is.Equal(len(cs), 3)
 	is.Equal(cs[0].Fence, cs[2].Fence)
 	peers := []Peer{{VM: a, Domain: "x", Live: true, Claims: []frame.Claim{{Domain: "x", Shards: 1<<0 | 1<<31, Fence: 7}}}}
 	is.Equal(Owned(peers), map[Group]bool{{"x", 0}: true, {"x", 31}: true})
-	is.True(Headed("x", peers) && !Headed("y", peers))
+	is.True(HasActiveVM("x", peers) && !HasActiveVM("y", peers))
 }
 
 // Guards against one VM that owns all endpoints of its domain while its neighbours are idle: they started or
@@ -225,9 +225,9 @@
 func TestUnitMovesToAnIdleNeighbour(t *testing.T) {
 	is := is.New(t)
 	table := New(a, "x", 1, t0)
-	var many []Seat
+	var many []Candidate
 	for i := range 16 {
-		many = append(many, Seat{Group: Group{"x", uint8(i)}, Unit: i / 2})
+		many = append(many, Candidate{Group: Group{"x", uint8(i)}, Unit: i / 2})
 	}
 	is.Equal(len(table.Decide(t0.Add(settleMissing), false, many, nil)), 16)
 	started := t0.Add(2 * time.Second)
@@ -235,7 +235,7 @@
 	is.Equal(len(table.Decide(started.Add(stableAfter-1), false, many, idle)), 0) // it has just started
 	cs := table.Decide(started.Add(stableAfter), false, many, idle)
 	is.Equal(len(cs), 2) // both groups of one unit
-	is.True(cs[0].Giving && cs[1].Giving)
+	is.True(cs[0].HandingOver && cs[1].HandingOver)
 	is.Equal(table.best(started.Add(stableAfter), many[cs[0].Group.Shard], idle, netip.AddrPort{}), b)
 	is.Equal(len(table.Decide(started.Add(stableAfter), false, many, idle)), 0) // one at a time
 	for _, c := range cs {
@@ -251,17 +251,17 @@
 	table := New(a, "x", 1, t0)
 	table.Decide(t0.Add(settleOwn), false, gs[:1], nil)
 	is.True(table.Owns(x) != nil)
-	table.Strain(true)
+	table.SetStrained(true)
 	now := t0.Add(time.Minute)
 	is.Equal(len(table.Decide(now, false, gs[:1], nil)), 0) // no other VM can take them
 	is.Equal(len(table.Decide(now, false, gs[:1], []Peer{{VM: b, Domain: "x", Live: true, Since: t0, Strained: true}})), 0)
 	neighbour := []Peer{{VM: b, Domain: "x", Live: true, Since: t0}}
 	cs := table.Decide(now, false, gs[:1], neighbour)
 	is.Equal(len(cs), 1)
-	is.True(cs[0].Giving)
+	is.True(cs[0].HandingOver)
 	table.Drop(x)
 	for unit := range 100 {
-		is.Equal(table.best(now, Seat{Group: x, Unit: unit}, neighbour, netip.AddrPort{}), b)
+		is.Equal(table.best(now, Candidate{Group: x, Unit: unit}, neighbour, netip.AddrPort{}), b)
 	}
 }
 
@@ -275,7 +275,7 @@
 	name := func(d int) string { return string(rune('a' + d)) }
 	r := rand.New(rand.NewPCG(1, 1))
 	for unit := range 20 {
-		g, owners := Seat{Group: Group{Domain: "lost"}, Unit: unit}, map[netip.AddrPort]bool{}
+		g, owners := Candidate{Group: Group{Domain: "lost"}, Unit: unit}, map[netip.AddrPort]bool{}
 		for d := range domains {
 			for n := range each {
 				table := New(at(d, n), name(d), 1, t0)
@@ -301,10 +301,10 @@
 	is := is.New(t)
 	table := New(a, "x", 1, t0)
 	peers := []Peer{{VM: b, Domain: "x", Listed: true}}
-	table.Defer(true)
+	table.SetDeferring(true)
 	at := t0.Add(time.Hour)
 	is.Equal(len(table.Decide(at, false, gs[:1], peers)), 0)
-	table.Defer(false) // the path has recovered, and the owner's first heartbeat is in flight
+	table.SetDeferring(false) // the path has recovered, and the owner's first heartbeat is in flight
 	is.Equal(len(table.Decide(at.Add(rejoinDelay-1), false, gs[:1], peers)), 0)
 	is.Equal(len(table.Decide(at.Add(rejoinDelay), false, gs[:1], peers)), 1)
 }
@@ -313,10 +313,10 @@
 func TestIsolatedVMReplacesLostNeighbours(t *testing.T) {
 	is := is.New(t)
 	table := New(a, "x", 1, t0)
-	table.Isolate(true)
+	table.SetIsolated(true)
 	at := t0.Add(time.Hour)
 	is.Equal(len(table.Decide(at, false, gs, nil)), 0)
-	table.Succeed(true)
+	table.SetNeighboursLost(true)
 	cs := table.Decide(at.Add(time.Millisecond), false, gs, nil)
 	is.Equal(len(cs), 1)
 	is.Equal(cs[0].Group, x) // nothing of other domains, whose VMs were not probed
@@ -327,8 +327,8 @@
 func TestLastVMClaimsAll(t *testing.T) {
 	is := is.New(t)
 	table := New(a, "x", 1, t0)
-	table.Isolate(true)
-	table.SucceedAll(true)
+	table.SetIsolated(true)
+	table.SetAllLost(true)
 	at, peers := t0.Add(settleOther), []Peer{{VM: b, Domain: "y", Listed: true}}
 	is.Equal(len(table.Decide(at.Add(-1), false, gs, peers)), 1) // of its own domain
 	is.Equal(len(table.Decide(at, false, gs, peers)), 1)
@@ -338,12 +338,12 @@
 func TestCutOffVMClaimsOnlyItsDomain(t *testing.T) {
 	is := is.New(t)
 	table := New(a, "x", 1, t0)
-	table.CutOff(true)
+	table.SetCutOff(true)
 	at := t0.Add(time.Hour)
 	cs := table.Decide(at, false, gs, nil)
 	is.Equal(len(cs), 1)
 	is.Equal(cs[0].Group, x) // no neighbour owns it
-	table.CutOff(false)
+	table.SetCutOff(false)
 	is.Equal(len(table.Decide(at.Add(rejoinDelay-1), false, gs, nil)), 0)
 	is.Equal(len(table.Decide(at.Add(rejoinDelay), false, gs, nil)), 1)
 }
--- a/internal/mesh/claim/settle.go
+++ b/internal/mesh/claim/settle.go
@@ -28,7 +28,7 @@
 
 // settled reports whether this VM has listened long enough to claim a group. A peer whose domain
 // is unknown may be a neighbour.
-func (t *Book) settled(now time.Time, g Seat, peers []Peer) bool {
+func (t *Table) settled(now time.Time, g Candidate, peers []Peer) bool {
 	age := now.Sub(t.began)
 	if now.Sub(t.lastIsolated) < rejoinDelay && !t.ownerLost(g.Group) {
 		return false
@@ -59,7 +59,7 @@
 //
 // Without it a VM that starts or reconnects, and hears one neighbour first, claims the endpoints of all others
 // whose heartbeats are still in flight: it logs a "group" line for every group.
-func (t *Book) recordSilence(now time.Time, peers []Peer) {
+func (t *Table) recordSilence(now time.Time, peers []Peer) {
 	if t.isolated {
 		t.lastIsolated = now
 	}
@@ -76,39 +76,39 @@
 
 // SetStrained sets whether this VM's messages reach the others late. If so, its groups go to
 // neighbours that aren't strained, and it claims none while there are such.
-func (t *Book) Strain(on bool) { t.strained = on }
+func (t *Table) SetStrained(on bool) { t.strained = on }
 
 // SetIsolated sets whether this VM seems to be cut off from all others. If so, it keeps its groups and
 // claims none: silence does not prove that an owner is lost.
-func (t *Book) Isolate(on bool) { t.isolated = on }
+func (t *Table) SetIsolated(on bool) { t.isolated = on }
 
 // SetDeferring sets whether a VM of this failure domain that can't be heard owns endpoints there. If so,
 // this VM claims none of them.
-func (t *Book) Defer(on bool) { t.deferring = on }
+func (t *Table) SetDeferring(on bool) { t.deferring = on }
 
 // Deferring returns the value of the last SetDeferring.
-func (t *Book) Defers() bool { return t.deferring }
+func (t *Table) Deferring() bool { return t.deferring }
 
 // SetCutOff sets whether this VM hears nobody though others are known to be up. If so, it claims nothing
 // in other failure domains, however long that lasts.
-func (t *Book) CutOff(on bool) { t.cutOff = on }
+func (t *Table) SetCutOff(on bool) { t.cutOff = on }
 
 // SetNeighboursLost sets whether all unheard VMs of this failure domain are known to be down. If so,
 // their endpoints are claimed even by a VM that seems isolated.
-func (t *Book) Succeed(on bool) { t.neighboursLost = on }
+func (t *Table) SetNeighboursLost(on bool) { t.neighboursLost = on }
 
 // SetAllLost sets whether all other VMs are known to be down. If so, everything is claimed even by a VM
 // that seems isolated.
-func (t *Book) SucceedAll(on bool) { t.allLost = on }
+func (t *Table) SetAllLost(on bool) { t.allLost = on }
 
 // ownerLost reports whether all VMs that may own a group are known to be down.
-func (t *Book) ownerLost(g Group) bool {
+func (t *Table) ownerLost(g Group) bool {
 	return t.allLost || (t.neighboursLost && g.Domain == t.domain)
 }
 
 // mayClaim reports whether silence may be taken as the loss of a group's owner. An owner that answered
 // through the store is heard again only some time after the path to it has recovered.
-func (t *Book) mayClaim(now time.Time, g Group) bool {
+func (t *Table) mayClaim(now time.Time, g Group) bool {
 	if t.isolated && !t.ownerLost(g) {
 		return false
 	}
--- a/internal/mesh/frame/frame_test.go
+++ b/internal/mesh/frame/frame_test.go
@@ -15,15 +15,15 @@
 	at := netip.MustParseAddrPort("127.0.0.1:7001")
 	return []Msg{
 		&Hello{VM: at, Inc: 7, Domain: "perth-a"},
-		&Beat{At: time.Unix(1_700_000_000, 5), Room: Room{Free: 3, Urgent: 4}, Wait: time.Second, Gone: []netip.AddrPort{at}, Use: map[string]Use{"crew": {Rate: 2, Slots: 1}}},
-		&Beat{At: time.Unix(1_700_000_000, 5), Suspects: []Suspect{{Task: "j.0.0.0", Lost: 2}}, Losses: []Loss{{Endpoint: "e2", Age: time.Second}}, Cleared: []Cleared{{Endpoint: "e1", Fence: 1<<53 - 1}}},
-		&Give{At: time.Unix(1_700_000_000, 5), Group: 1, Tasks: []Task{{Job: 2, Tenant: "crew", Left: time.Second, Task: job.Task{Body: []byte("x")}}}},
-		&Took{To: 3, Group: 1, N: 1},
-		&Back{To: 3, Group: 1, Ended: []Ended{{Job: 2, Fate: Ran, Body: []byte("y")}}},
+		&Heartbeat{At: time.Unix(1_700_000_000, 5), Room: Room{Free: 3, Urgent: 4}, Wait: time.Second, Gone: []netip.AddrPort{at}, Use: map[string]TenantUse{"crew": {Rate: 2, Slots: 1}}},
+		&Heartbeat{At: time.Unix(1_700_000_000, 5), Suspects: []Suspect{{Task: "j.0.0.0", Lost: 2}}, Losses: []Loss{{Endpoint: "e2", Age: time.Second}}, Cleared: []Cleared{{Endpoint: "e1", Fence: 1<<53 - 1}}},
+		&StartTasks{At: time.Unix(1_700_000_000, 5), Group: 1, Tasks: []Task{{Job: 2, Tenant: "crew", Left: time.Second, Task: job.Task{Body: []byte("x")}}}},
+		&TasksAccepted{To: 3, Group: 1, Count: 1},
+		&TaskResults{To: 3, Group: 1, Results: []TaskResult{{Job: 2, Outcome: Succeeded, Body: []byte("y")}}},
 		&Submit{Call: 1, Req: job.Request{Tenant: "crew", Tasks: []job.Task{{Body: []byte("z")}}}},
-		&Reply{To: 3, Call: 1, Answer: job.Answer{Outcome: job.Done, Results: [][]byte{[]byte("r")}}},
-		&Told{To: 3, Call: 1, Answer: job.Answer{Outcome: job.Done}},
-		&Have{}, &Want{}, &Keepalive{To: 3, Asked: time.Unix(1_700_000_000, 5), Calls: []uint64{1, 2}},
+		&SubmitReply{To: 3, Call: 1, Answer: job.Answer{Outcome: job.Done, Results: [][]byte{[]byte("r")}}},
+		&JobAnswer{To: 3, Call: 1, Answer: job.Answer{Outcome: job.Done}},
+		&Document{}, &DocumentRequest{}, &Keepalive{To: 3, Asked: time.Unix(1_700_000_000, 5), Calls: []uint64{1, 2}},
 	}
 }
 
--- a/internal/mesh/frame/msg.go
+++ b/internal/mesh/frame/msg.go
@@ -47,7 +47,7 @@
 	Inc    uint64         `msgpack:"i"`
 	Domain string         `msgpack:"d"`
 	// Extended says that the sender can read Ack and packed messages.
-	Extended bool `msgpack:"c,omitempty"`
+	Counts bool `msgpack:"c,omitempty"`
 }
 
 // Ack tells the receiver how many of its messages the sender has read. It is sent along with other
@@ -59,24 +59,24 @@
 }
 
 // Heartbeat tells peers that the sender is alive, and what they need to send work where it can start.
-type Beat struct {
-	At      time.Time        `msgpack:"t"` // the sender's clock
-	Room    Room             `msgpack:"f"`
-	Wait    time.Duration    `msgpack:"w"` // expected wait of a new task in the routine band
-	Queued  int              `msgpack:"q"`
-	Leaving bool             `msgpack:"l,omitempty"`
-	Doubts  []netip.AddrPort `msgpack:"s,omitempty"` // peers that the sender has not heard from lately
-	Gone    []netip.AddrPort `msgpack:"g,omitempty"` // endpoints that announced that they are leaving
-	Out     []netip.AddrPort `msgpack:"o,omitempty"` // endpoints ejected by health checks
-	Rev     uint64           `msgpack:"r"`           // configuration revision in force at the sender
-	Asof    int64            `msgpack:"a"`           // log offset up to which that revision was read
-	Use     map[string]Use   `msgpack:"u,omitempty"` // use by tenants with quotas
-	Claims  []Claim          `msgpack:"c,omitempty"` // groups of leased endpoints owned here
-	Power   float32          `msgpack:"p,omitempty"` // number of cores that the sender may use
+type Heartbeat struct {
+	At      time.Time            `msgpack:"t"` // the sender's clock
+	Room    Room                 `msgpack:"f"`
+	Wait    time.Duration        `msgpack:"w"` // expected wait of a new task in the routine band
+	Queued  int                  `msgpack:"q"`
+	Leaving bool                 `msgpack:"l,omitempty"`
+	Doubts  []netip.AddrPort     `msgpack:"s,omitempty"` // peers that the sender has not heard from lately
+	Gone    []netip.AddrPort     `msgpack:"g,omitempty"` // endpoints that announced that they are leaving
+	Out     []netip.AddrPort     `msgpack:"o,omitempty"` // endpoints ejected by health checks
+	Rev     uint64               `msgpack:"r"`           // configuration revision in force at the sender
+	Asof    int64                `msgpack:"a"`           // log offset up to which that revision was read
+	Use     map[string]TenantUse `msgpack:"u,omitempty"` // use by tenants with quotas
+	Claims  []Claim              `msgpack:"c,omitempty"` // groups of leased endpoints owned here
+	Power   float32              `msgpack:"p,omitempty"` // number of cores that the sender may use
 	// StoreDown says that the platform's store does not answer the sender.
 	Storeless bool `msgpack:"n,omitempty"`
 	// LatePeers are the peers whose heartbeats reach the sender late.
-	Late []Late `msgpack:"z,omitempty"`
+	Late []LatePeer `msgpack:"z,omitempty"`
 	// Strained says that the sender's messages reach most other VMs late.
 	Strained bool `msgpack:"x,omitempty"`
 	// Suspects are tasks that the sender suspects of crashing their endpoints.
@@ -108,7 +108,7 @@
 }
 
 // LatePeer says how much later than usual a peer's last heartbeat came.
-type Late struct {
+type LatePeer struct {
 	VM netip.AddrPort `msgpack:"v"`
 	By time.Duration  `msgpack:"b"`
 }
@@ -135,7 +135,7 @@
 }
 
 // TenantUse is what a tenant asks for and holds at one VM.
-type Use struct {
+type TenantUse struct {
 	Rate  float64 `msgpack:"r"` // wanted task starts per second
 	Slots int     `msgpack:"s"` // slots held
 }
@@ -152,7 +152,7 @@
 }
 
 // StartTasks asks a peer to start tasks at once. It returns those that it can't start.
-type Give struct {
+type StartTasks struct {
 	At    time.Time `msgpack:"a"` // the sender's clock; tasks of a delayed message are not started
 	Group uint64    `msgpack:"g"`
 	Tasks []Task    `msgpack:"t"`
@@ -160,66 +160,66 @@
 
 // TasksAccepted says how many tasks of a group were accepted, counted from its first;
 // the others did not start.
-type Took struct {
+type TasksAccepted struct {
 	To    uint64 `msgpack:"b"` // the incarnation that sent the group
 	Group uint64 `msgpack:"g"`
-	N     int    `msgpack:"n"`
+	Count int    `msgpack:"n"`
 	Room  Room   `msgpack:"f"`
 }
 
 // TaskOutcome is how a forwarded task ended.
-type Fate uint8
+type TaskOutcome uint8
 
 // Values of TaskOutcome.
 const (
-	Ran       Fate = iota // the result is in Body
-	RanBadly              // it ran and returned a failure
-	NotRun                // it certainly did not start
-	Uncertain             // it may have started
+	Succeeded  TaskOutcome = iota // the result is in Body
+	Failed                        // it ran and returned a failure
+	NotStarted                    // it certainly did not start
+	Uncertain                     // it may have started
 )
 
 // TaskResult is the end of one task of a group.
-type Ended struct {
-	Job    uint64 `msgpack:"j"`
-	Index  int    `msgpack:"i"`
-	Fate   Fate   `msgpack:"f"`
-	Body   []byte `msgpack:"b,omitempty"`
-	Detail string `msgpack:"d,omitempty"`
+type TaskResult struct {
+	Job     uint64      `msgpack:"j"`
+	Index   int         `msgpack:"i"`
+	Outcome TaskOutcome `msgpack:"f"`
+	Body    []byte      `msgpack:"b,omitempty"`
+	Detail  string      `msgpack:"d,omitempty"`
 }
 
 // TaskResults returns ended tasks of a group to the VM that sent it.
-type Back struct {
-	To    uint64  `msgpack:"b"` // the incarnation that sent the group
-	Group uint64  `msgpack:"g"`
-	Ended []Ended `msgpack:"e"`
-	Room  Room    `msgpack:"f"`
+type TaskResults struct {
+	To      uint64       `msgpack:"b"` // the incarnation that sent the group
+	Group   uint64       `msgpack:"g"`
+	Results []TaskResult `msgpack:"e"`
+	Room    Room         `msgpack:"f"`
 }
 
 // Submit hands a whole submission to the VM that may start it.
 type Submit struct {
-	Call uint64      `msgpack:"c"`
-	Look bool        `msgpack:"l,omitempty"` // only ask for the state of its ticket
-	Stop bool        `msgpack:"s,omitempty"` // cancel the job that runs under its ticket
-	Req  job.Request `msgpack:"r"`
+	Call      uint64      `msgpack:"c"`
+	QueryOnly bool        `msgpack:"l,omitempty"` // only ask for the state of its ticket
+	Cancel    bool        `msgpack:"s,omitempty"` // cancel the job that runs under its ticket
+	Req       job.Request `msgpack:"r"`
 }
 
 // SubmitReply answers a Submit.
-type Reply struct {
+type SubmitReply struct {
 	To     uint64     `msgpack:"b"` // the incarnation that sent the Submit
 	Call   uint64     `msgpack:"c"`
 	Answer job.Answer `msgpack:"a"`
 }
 
 // Document carries a revision of the configuration document.
-type Have struct {
+type Document struct {
 	Revision fold.Revision `msgpack:"r"`
 }
 
 // DocumentRequest asks for the revision in force.
-type Want struct{}
+type DocumentRequest struct{}
 
 // RunJob hands a job to the owner of leased endpoints.
-type Hand struct {
+type RunJob struct {
 	To   uint64    `msgpack:"t"` // the receiver's incarnation; Job.Asked is a time of its clock
 	Call uint64    `msgpack:"c"`
 	Job  batch.Job `msgpack:"j"`
@@ -234,7 +234,7 @@
 }
 
 // JobAnswer answers a RunJob.
-type Told struct {
+type JobAnswer struct {
 	To     uint64     `msgpack:"b"` // the incarnation that sent the RunJob
 	Call   uint64     `msgpack:"c"` // call number of that incarnation
 	Answer job.Answer `msgpack:"a"`
@@ -242,7 +242,7 @@
 }
 
 // CancelJob cancels a RunJob because its caller left or its deadline has passed.
-type Drop struct {
+type CancelJob struct {
 	At   time.Time `msgpack:"a"` // the sender's clock
 	Call uint64    `msgpack:"c"`
 }
@@ -258,7 +258,7 @@
 }
 
 // PlanUpdate passes on what the sender read of the operators' declarations.
-type Planned struct {
+type PlanUpdate struct {
 	From    int64       `msgpack:"f"` // offsets in the store's topic
 	To      int64       `msgpack:"t"`
 	All     []plan.Plan `msgpack:"p,omitempty"`
@@ -269,7 +269,7 @@
 }
 
 // EndpointUpdate passes on what the sender read of the leased endpoints.
-type Listed struct {
+type EndpointUpdate struct {
 	From int64        `msgpack:"f"`
 	To   int64        `msgpack:"t"`
 	All  []lease.Info `msgpack:"e,omitempty"`
@@ -279,48 +279,48 @@
 }
 
 // SnapshotRequest asks for a copy of all that the receiver read from the store.
-type Ask struct {
+type SnapshotRequest struct {
 	Plans     bool `msgpack:"p,omitempty"`
 	Endpoints bool `msgpack:"e,omitempty"`
 }
 
-func (*Hello) kind() kind     { return kindHello }
-func (*Beat) kind() kind      { return kindHeartbeat }
-func (*Give) kind() kind      { return kindStartTasks }
-func (*Took) kind() kind      { return kindTasksAccepted }
-func (*Back) kind() kind      { return kindTaskResults }
-func (*Submit) kind() kind    { return kindSubmit }
-func (*Reply) kind() kind     { return kindSubmitReply }
-func (*Have) kind() kind      { return kindDocument }
-func (*Want) kind() kind      { return kindDocumentRequest }
-func (*Hand) kind() kind      { return kindRunJob }
-func (*Told) kind() kind      { return kindJobAnswer }
-func (*Drop) kind() kind      { return kindCancelJob }
-func (*Load) kind() kind      { return kindLoad }
-func (*Planned) kind() kind   { return kindPlanUpdate }
-func (*Listed) kind() kind    { return kindEndpointUpdate }
-func (*Ask) kind() kind       { return kindSnapshotRequest }
-func (*Ack) kind() kind       { return kindAck }
-func (*Keepalive) kind() kind { return kindKeepalive }
+func (*Hello) kind() kind           { return kindHello }
+func (*Heartbeat) kind() kind       { return kindHeartbeat }
+func (*StartTasks) kind() kind      { return kindStartTasks }
+func (*TasksAccepted) kind() kind   { return kindTasksAccepted }
+func (*TaskResults) kind() kind     { return kindTaskResults }
+func (*Submit) kind() kind          { return kindSubmit }
+func (*SubmitReply) kind() kind     { return kindSubmitReply }
+func (*Document) kind() kind        { return kindDocument }
+func (*DocumentRequest) kind() kind { return kindDocumentRequest }
+func (*RunJob) kind() kind          { return kindRunJob }
+func (*JobAnswer) kind() kind       { return kindJobAnswer }
+func (*CancelJob) kind() kind       { return kindCancelJob }
+func (*Load) kind() kind            { return kindLoad }
+func (*PlanUpdate) kind() kind      { return kindPlanUpdate }
+func (*EndpointUpdate) kind() kind  { return kindEndpointUpdate }
+func (*SnapshotRequest) kind() kind { return kindSnapshotRequest }
+func (*Ack) kind() kind             { return kindAck }
+func (*Keepalive) kind() kind       { return kindKeepalive }
 
 // constructors build an empty message of each kind.
 var constructors = [numKinds]func() Msg{
 	kindHello:           func() Msg { return &Hello{} },
-	kindHeartbeat:       func() Msg { return &Beat{} },
-	kindStartTasks:      func() Msg { return &Give{} },
-	kindTasksAccepted:   func() Msg { return &Took{} },
-	kindTaskResults:     func() Msg { return &Back{} },
+	kindHeartbeat:       func() Msg { return &Heartbeat{} },
+	kindStartTasks:      func() Msg { return &StartTasks{} },
+	kindTasksAccepted:   func() Msg { return &TasksAccepted{} },
+	kindTaskResults:     func() Msg { return &TaskResults{} },
 	kindSubmit:          func() Msg { return &Submit{} },
-	kindSubmitReply:     func() Msg { return &Reply{} },
-	kindDocument:        func() Msg { return &Have{} },
-	kindDocumentRequest: func() Msg { return &Want{} },
-	kindRunJob:          func() Msg { return &Hand{} },
-	kindJobAnswer:       func() Msg { return &Told{} },
-	kindCancelJob:       func() Msg { return &Drop{} },
+	kindSubmitReply:     func() Msg { return &SubmitReply{} },
+	kindDocument:        func() Msg { return &Document{} },
+	kindDocumentRequest: func() Msg { return &DocumentRequest{} },
+	kindRunJob:          func() Msg { return &RunJob{} },
+	kindJobAnswer:       func() Msg { return &JobAnswer{} },
+	kindCancelJob:       func() Msg { return &CancelJob{} },
 	kindLoad:            func() Msg { return &Load{} },
-	kindPlanUpdate:      func() Msg { return &Planned{} },
-	kindEndpointUpdate:  func() Msg { return &Listed{} },
-	kindSnapshotRequest: func() Msg { return &Ask{} },
+	kindPlanUpdate:      func() Msg { return &PlanUpdate{} },
+	kindEndpointUpdate:  func() Msg { return &EndpointUpdate{} },
+	kindSnapshotRequest: func() Msg { return &SnapshotRequest{} },
 	kindAck:             func() Msg { return &Ack{} },
 	kindKeepalive:       func() Msg { return &Keepalive{} },
 }
@@ -339,7 +339,7 @@
 // it. The others are superseded by the next one of their kind.
 func Reliable(m Msg) bool {
 	switch m.(type) {
-	case *Hello, *Beat, *Want, *Load, *Planned, *Listed, *Ask, *Ack, *Keepalive:
+	case *Hello, *Heartbeat, *DocumentRequest, *Load, *PlanUpdate, *EndpointUpdate, *SnapshotRequest, *Ack, *Keepalive:
 		return false
 	default:
 		return true
@@ -351,7 +351,7 @@
 // nobody wants.
 func Answering(m Msg) bool {
 	switch m.(type) {
-	case *Took, *Back, *Reply, *Told, *Drop:
+	case *TasksAccepted, *TaskResults, *SubmitReply, *JobAnswer, *CancelJob:
 		return true
 	default:
 		return false
--- a/internal/mesh/frame/pack_test.go
+++ b/internal/mesh/frame/pack_test.go
@@ -14,8 +14,8 @@
 )
 
 // endpointUpdate returns a full copy of n endpoints.
-func endpointUpdate(n int) *Listed {
-	m := &Listed{To: 7, Whole: true}
+func endpointUpdate(n int) *EndpointUpdate {
+	m := &EndpointUpdate{To: 7, Whole: true}
 	for i := range n {
 		m.All = append(m.All, lease.Info{
 			ID: fmt.Sprintf("i-%010x", uint32(i)*2654435761), Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}), uint16(8000+i%700)),
--- a/internal/mesh/link/hub.go
+++ b/internal/mesh/link/hub.go
@@ -61,7 +61,7 @@
 
 // MaxReconnect is the longest time until a link is up again after its path has healed, if both
 // VMs are alive and not overloaded.
-const Heal = maxDialTimeout + maxRedialPause*3/2
+const MaxReconnect = maxDialTimeout + maxRedialPause*3/2
 
 // maxKeptBytes bounds the unacknowledged bytes that are kept for one peer.
 const maxKeptBytes = 2 * frame.MaxPayload
@@ -73,7 +73,7 @@
 type Dialer func(ctx context.Context, to netip.AddrPort) (net.Conn, error)
 
 // DialTCP is a Dialer for plain TCP.
-func TCP(ctx context.Context, to netip.AddrPort) (net.Conn, error) {
+func DialTCP(ctx context.Context, to netip.AddrPort) (net.Conn, error) {
 	var d net.Dialer
 	c, err := d.DialContext(ctx, "tcp", to.String())
 	if err != nil {
@@ -107,7 +107,7 @@
 
 // New returns a hub that works once Run is called.
 func New(self frame.Hello, dial Dialer, handle Handler, count Counter, log *slog.Logger) *Hub {
-	self.Extended = true
+	self.Counts = true
 	return &Hub{
 		self: self, dial: dial, handle: handle, count: count, log: log, started: time.Now(),
 		senders: map[netip.AddrPort]*sender{}, receivers: map[netip.AddrPort]*receiver{}, inbounds: map[*inbound]bool{},
@@ -147,7 +147,7 @@
 }
 
 // Cast implements flow.Mesh.
-func (h *Hub) Cast(to netip.AddrPort, m frame.Msg) error {
+func (h *Hub) Send(to netip.AddrPort, m frame.Msg) error {
 	data, err := frame.Append(nil, m)
 	if err != nil {
 		return fmt.Errorf("cast to %s: %w", to, err)
@@ -161,7 +161,7 @@
 }
 
 // Spread implements serve.Mesh. It encodes the message once for all.
-func (h *Hub) Spread(to []netip.AddrPort, m frame.Msg) {
+func (h *Hub) SendAll(to []netip.AddrPort, m frame.Msg) {
 	data, err := frame.Append(nil, m)
 	if err != nil {
 		h.log.Error("message not sent", "kind", frame.Purpose(m), "err", err)
@@ -185,7 +185,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r := h.receivers[vm]
-	return r != nil && r.from.Extended
+	return r != nil && r.from.Counts
 }
 
 // sender returns the sender to a VM, started if need be, or nil before the hub runs.
@@ -227,7 +227,7 @@
 }
 
 // Reach implements flow.Mesh.
-func (h *Hub) Reach(ctx context.Context, vm netip.AddrPort) (uint64, error) {
+func (h *Hub) Connect(ctx context.Context, vm netip.AddrPort) (uint64, error) {
 	s := h.sender(vm)
 	for s != nil {
 		if inc, ok := s.connectedInc(); ok {
--- a/internal/mesh/link/incarnation_test.go
+++ b/internal/mesh/link/incarnation_test.go
@@ -40,7 +40,7 @@
 // Guards against messages that are accepted for a peer's new incarnation and then dropped with the
 // connection to the former one.
 func TestNewIncarnationGetsOrRefusesMessages(t *testing.T) {
-	for name, m := range map[string]frame.Msg{"a job": &frame.Hand{}, "an answer": &frame.Took{}} {
+	for name, m := range map[string]frame.Msg{"a job": &frame.RunJob{}, "an answer": &frame.TasksAccepted{}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			a := startPeer(t, 1, "127.0.0.1:0")
@@ -73,7 +73,7 @@
 			})
 			sendHeartbeat(t, b, a.at)
 			<-heard
-			err := a.hub.Cast(at, m)
+			err := a.hub.Send(at, m)
 			if frame.Answering(m) {
 				is.NoErr(err)
 			}
--- a/internal/mesh/link/link_test.go
+++ b/internal/mesh/link/link_test.go
@@ -68,7 +68,7 @@
 	if observe != nil {
 		observe(from, m)
 	}
-	if t, ok := m.(*frame.Took); ok {
+	if t, ok := m.(*frame.TasksAccepted); ok {
 		s.mu.Lock()
 		s.groups = append(s.groups, t.Group)
 		s.mu.Unlock()
@@ -99,7 +99,7 @@
 	}
 	s := &peer{at: l.Addr().(*net.TCPAddr).AddrPort()}
 	dial := func(ctx context.Context, to netip.AddrPort) (net.Conn, error) {
-		c, err := TCP(ctx, to)
+		c, err := DialTCP(ctx, to)
 		if err != nil {
 			return nil, err
 		}
@@ -136,7 +136,7 @@
 func waitOnline(t *testing.T, a, b *peer) {
 	t.Helper()
 	eventually(t, "a link", func() bool {
-		return a.hub.Cast(b.at, &frame.Have{}) == nil
+		return a.hub.Send(b.at, &frame.Document{}) == nil
 	})
 }
 
@@ -158,10 +158,10 @@
 // or sent again and not recognized as duplicates.
 func TestEachMessageOnceOverBrokenConnections(t *testing.T) {
 	a, b := startPeer(t, 1, "127.0.0.1:0"), startPeer(t, 1, "127.0.0.1:0")
-	_ = a.hub.Cast(b.at, &frame.Beat{})
+	_ = a.hub.Send(b.at, &frame.Heartbeat{})
 	waitOnline(t, a, b)
 	for i := range 2000 {
-		if err := a.hub.Cast(b.at, &frame.Took{Group: uint64(i)}); err != nil {
+		if err := a.hub.Send(b.at, &frame.TasksAccepted{Group: uint64(i)}); err != nil {
 			t.Fatal(err)
 		}
 		if i%400 == 200 {
@@ -176,7 +176,7 @@
 // peer does not lead to a new connection.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	a, b := startPeer(t, 1, "127.0.0.1:0"), startPeer(t, 1, "127.0.0.1:0")
-	_ = a.hub.Cast(b.at, &frame.Beat{})
+	_ = a.hub.Send(b.at, &frame.Heartbeat{})
 	waitOnline(t, a, b)
 	for i := range 100 {
 		if i == 50 {
@@ -186,7 +186,7 @@
 			rec.conns.Add(1) // the acknowledgements stop as well
 			a.eachConn(func(f *flakyConn) { f.silent.Store(true) })
 		}
-		if err := a.hub.Cast(b.at, &frame.Took{Group: uint64(i)}); err != nil {
+		if err := a.hub.Send(b.at, &frame.TasksAccepted{Group: uint64(i)}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -202,23 +202,23 @@
 	t.Run("first process", func(t *testing.T) {
 		b := startPeer(t, 1, "127.0.0.1:0")
 		at = b.at
-		_ = a.hub.Cast(b.at, &frame.Beat{})
+		_ = a.hub.Send(b.at, &frame.Heartbeat{})
 		waitOnline(t, a, b)
 	})
-	eventually(t, "the link to fail", func() bool { return a.hub.Cast(at, &frame.Have{}) != nil })
-	is.NoErr(a.hub.Cast(at, &frame.Took{Group: 99})) // an answer, queued for the old incarnation
+	eventually(t, "the link to fail", func() bool { return a.hub.Send(at, &frame.Document{}) != nil })
+	is.NoErr(a.hub.Send(at, &frame.TasksAccepted{Group: 99})) // an answer, queued for the old incarnation
 	b := startPeer(t, 2, at.String())
-	_ = a.hub.Cast(at, &frame.Beat{})
+	_ = a.hub.Send(at, &frame.Heartbeat{})
 	waitOnline(t, a, b)
-	is.NoErr(a.hub.Cast(at, &frame.Took{Group: 0}))
+	is.NoErr(a.hub.Send(at, &frame.TasksAccepted{Group: 0}))
 	exactlyOnce(t, b, 1)
 }
 
 // exchangeHeartbeats makes two VMs send each other heartbeats for a duration.
 func exchangeHeartbeats(a, b *peer, d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-		_ = a.hub.Cast(b.at, &frame.Beat{})
-		_ = b.hub.Cast(a.at, &frame.Beat{})
+		_ = a.hub.Send(b.at, &frame.Heartbeat{})
+		_ = b.hub.Send(a.at, &frame.Heartbeat{})
 	}
 }
 
@@ -304,7 +304,7 @@
 // sendHeartbeat sends a heartbeat once the hub runs.
 func sendHeartbeat(t *testing.T, from *peer, to netip.AddrPort) {
 	t.Helper()
-	eventually(t, "the hub to run", func() bool { return from.hub.Cast(to, &frame.Beat{}) == nil })
+	eventually(t, "the hub to run", func() bool { return from.hub.Send(to, &frame.Heartbeat{}) == nil })
 }
 
 // Guards against slow discovery after a loss of all VMs: the first VM to start received messages
--- a/internal/mesh/link/receiver.go
+++ b/internal/mesh/link/receiver.go
@@ -38,7 +38,7 @@
 	h.mu.Lock()
 	r := h.receivers[to]
 	h.mu.Unlock()
-	if r == nil || !r.from.Extended {
+	if r == nil || !r.from.Counts {
 		return buf
 	}
 	total := r.total.Load()
--- a/internal/mesh/view/clock_test.go
+++ b/internal/mesh/view/clock_test.go
@@ -28,7 +28,7 @@
 		for range 30 {
 			at := theirs
 			pass(time.Duration(rapid.Int64Range(0, 3e9).Draw(t, "under way")))
-			v.Hear(ours, frame.Hello{VM: vm, Inc: 1, Domain: "b"}, &frame.Beat{At: at})
+			v.Hear(ours, frame.Hello{VM: vm, Inc: 1, Domain: "b"}, &frame.Heartbeat{At: at})
 			pass(time.Duration(rapid.Int64Range(0, 5e9).Draw(t, "pause")))
 			if rapid.IntRange(0, 4).Draw(t, "resume") == 0 {
 				v.Resume(ours)
@@ -47,10 +47,10 @@
 	vm, t0 := netip.MustParseAddrPort("127.0.0.2:1"), time.Unix(1_700_000_000, 0)
 	const pause = time.Minute
 	v := New(netip.MustParseAddrPort("127.0.0.1:1"), "a", t0)
-	v.Hear(t0, frame.Hello{VM: vm, Inc: 1, Domain: "a"}, &frame.Beat{At: t0})
+	v.Hear(t0, frame.Hello{VM: vm, Inc: 1, Domain: "a"}, &frame.Heartbeat{At: t0})
 	ours, theirs := t0.Add(pause), t0.Add(pause-maxDrift(pause)*9/10)
 	v.Resume(ours)
 	is.True(!v.Find(vm).Theirs(ours).After(theirs))
-	v.Hear(ours, frame.Hello{VM: vm, Inc: 1, Domain: "a"}, &frame.Beat{At: theirs})
+	v.Hear(ours, frame.Hello{VM: vm, Inc: 1, Domain: "a"}, &frame.Heartbeat{At: theirs})
 	is.True(!v.Find(vm).Theirs(ours).After(theirs))
 }
--- a/internal/mesh/view/isolation_test.go
+++ b/internal/mesh/view/isolation_test.go
@@ -34,12 +34,12 @@
 			at := began
 			for i, d := range c.domains {
 				at = began.Add(time.Duration(i) * c.apart)
-				v.Hear(at, frame.Hello{VM: vm(i + 1), Inc: 1, Domain: d}, &frame.Beat{At: at, Leaving: c.leaves == i+1})
+				v.Hear(at, frame.Hello{VM: vm(i + 1), Inc: 1, Domain: d}, &frame.Heartbeat{At: at, Leaving: c.leaves == i+1})
 			}
 			now := at.Add(c.after)
 			v.Tick(now)
 			is.Equal(v.Isolated(now), c.want)
-			hear(v, now, 1, 1, frame.Beat{At: now})
+			hear(v, now, 1, 1, frame.Heartbeat{At: now})
 			is.True(!v.Isolated(now)) // one is heard again
 		})
 	}
--- a/internal/mesh/view/member.go
+++ b/internal/mesh/view/member.go
@@ -33,7 +33,7 @@
 	State  State
 	Picked bool // this VM keeps a link to it, also before it is heard
 	Heard  time.Time
-	Beat   frame.Beat
+	Beat   frame.Heartbeat
 	Late   time.Duration // delay of the last heartbeat compared to the fastest
 	Skew   time.Duration // smallest difference seen of this clock minus the member's
 }
--- a/internal/mesh/view/strain.go
+++ b/internal/mesh/view/strain.go
@@ -20,7 +20,7 @@
 	minWitnesses = 2
 	// strainAfter is how long messages must be late until a VM counts as strained. After a pause it reads
 	// reports that were sent before the others heard it again.
-	strainAfter = Far * Period
+	strainAfter = RemoteFactor * Period
 	// minStrain and maxStrain bound how long a VM counts as strained once messages are in time again. The
 	// time doubles with each strain that begins within maxStrain of the end of the last one.
 	minStrain = 10 * time.Second
@@ -28,17 +28,17 @@
 )
 
 // LateMembers returns the members whose heartbeats are late or overdue.
-func (v *View) Lates(now time.Time) (all []frame.Late) {
+func (v *View) Lates(now time.Time) (all []frame.LatePeer) {
 	for _, m := range v.Members() {
 		if m.State != Alive && m.State != Suspect {
 			continue
 		}
-		period := Far * Period
+		period := RemoteFactor * Period
 		if v.Often(m) {
 			period = Period
 		}
 		if late := max(m.Late, now.Sub(m.Heard)-period); late >= minLate && len(all) < maxLateMembers {
-			all = append(all, frame.Late{VM: m.VM, By: late})
+			all = append(all, frame.LatePeer{VM: m.VM, By: late})
 		}
 	}
 	return all
@@ -69,7 +69,7 @@
 }
 
 // reportedDelay returns the delay that a heartbeat reports for the messages of a VM.
-func reportedDelay(b *frame.Beat, vm netip.AddrPort) time.Duration {
+func reportedDelay(b *frame.Heartbeat, vm netip.AddrPort) time.Duration {
 	delay := time.Duration(0)
 	for _, l := range b.Late {
 		if l.VM == vm {
@@ -93,7 +93,7 @@
 // The link or CPU of a VM may become far slower than the others'. It still hears them in time and considers
 // itself healthy, while its orders and the jobs that it hands over queue up, and jobs of its clients miss
 // their deadlines.
-type Strain struct {
+type StrainDetector struct {
 	strained  bool
 	lateSince time.Time // when messages became late
 	until     time.Time // earliest end
@@ -102,7 +102,7 @@
 }
 
 // Update records the current delay of this VM's messages and reports whether it is strained.
-func (s *Strain) Look(now time.Time, delay time.Duration) bool {
+func (s *StrainDetector) Update(now time.Time, delay time.Duration) bool {
 	late := delay >= minLate
 	switch {
 	case !late:
--- a/internal/mesh/view/strain_test.go
+++ b/internal/mesh/view/strain_test.go
@@ -13,9 +13,9 @@
 
 // reportDelay sends a member's heartbeat that reports this VM's messages as late.
 func reportDelay(v *View, n int, domain string, by time.Duration) {
-	b := frame.Beat{At: began}
+	b := frame.Heartbeat{At: began}
 	if by > 0 {
-		b.Late = []frame.Late{{VM: vm(0), By: by}}
+		b.Late = []frame.LatePeer{{VM: vm(0), By: by}}
 	}
 	v.Hear(began, frame.Hello{VM: vm(n), Inc: 1, Domain: domain}, &b)
 }
@@ -53,28 +53,28 @@
 	v := New(vm(0), "a", began)
 	for k, late := range []time.Duration{0, minLate / 2, time.Second} {
 		sent := began.Add(time.Duration(k) * Period)
-		hear(v, sent.Add(late), 1, 1, frame.Beat{At: sent})
+		hear(v, sent.Add(late), 1, 1, frame.Heartbeat{At: sent})
 	}
 	now := began.Add(2*Period + time.Second)
 	is.Equal(len(v.Lates(now)), 1)
 	is.True(v.Lates(now)[0].By >= time.Second-2*clockDrift)
-	hear(v, now, 1, 1, frame.Beat{At: now})
+	hear(v, now, 1, 1, frame.Heartbeat{At: now})
 	is.Equal(len(v.Lates(now)), 0)
 	is.Equal(len(v.Lates(now.Add(Period+minLate))), 1) // the next one is overdue
-	is.Equal(reportedDelay(&frame.Beat{Doubts: []netip.AddrPort{vm(0)}}, vm(0)), suspectAfter)
+	is.Equal(reportedDelay(&frame.Heartbeat{Doubts: []netip.AddrPort{vm(0)}}, vm(0)), suspectAfter)
 }
 
 // Guards against units that move back and forth while a VM is slow only under load.
 func TestStrainLastsLongerEachTime(t *testing.T) {
 	is := is.New(t)
-	var s Strain
+	var s StrainDetector
 	now, lengths := began, []time.Duration{}
 	for range 4 {
-		for !s.Look(now, time.Second) {
+		for !s.Update(now, time.Second) {
 			now = now.Add(Period)
 		}
 		from := now
-		for s.Look(now, 0) {
+		for s.Update(now, 0) {
 			now = now.Add(Period)
 		}
 		lengths = append(lengths, now.Sub(from))
@@ -85,7 +85,7 @@
 // Guards against a VM that counts as strained for a single late heartbeat, or forever.
 func TestStrainFollowsTheDelay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var s Strain
+		var s StrainDetector
 		now, late, quiet := began, time.Duration(0), time.Duration(0)
 		for range rapid.IntRange(1, 200).Draw(t, "looks") {
 			delay := time.Duration(rapid.IntRange(0, 300).Draw(t, "delay")) * time.Millisecond
@@ -95,7 +95,7 @@
 				late, quiet = 0, quiet+Period
 			}
 			was := s.strained
-			on := s.Look(now, delay)
+			on := s.Update(now, delay)
 			if on && !was && late < strainAfter {
 				t.Fatalf("strained after %s", late)
 			}
--- a/internal/mesh/view/view.go
+++ b/internal/mesh/view/view.go
@@ -16,14 +16,14 @@
 	Period = 100 * time.Millisecond
 	// RemoteFactor is how many times longer heartbeat periods and timeouts are between failure domains:
 	// there are many more such pairs, and none shares slots.
-	Far = 3
+	RemoteFactor = 3
 	// maxLinks is how many links a VM in a large failure domain picks, except that at least minRemoteLinks
 	// go to other domains, which are needed to detect the loss of a domain.
 	maxLinks       = 64
 	minRemoteLinks = 12
 	// RemoteLinks is how many VMs of other failure domains a VM picks for links; about as many
 	// pick it.
-	FarLinks = 6
+	RemoteLinks = 6
 	// largeDomain is the size from which heartbeats inside a failure domain are as infrequent as between
 	// domains: each VM sends one to all others, and with 75 VMs these are most of all messages.
 	largeDomain = 32
@@ -67,7 +67,7 @@
 
 // New returns a view without members.
 func New(self netip.AddrPort, domain string, now time.Time) *View {
-	v := &View{self: self, domain: domain, remoteLinks: FarLinks, members: map[netip.AddrPort]*Member{}, began: now}
+	v := &View{self: self, domain: domain, remoteLinks: RemoteLinks, members: map[netip.AddrPort]*Member{}, began: now}
 	v.markStale()
 	return v
 }
@@ -164,7 +164,7 @@
 }
 
 // RecordBeat records a heartbeat. One of an older incarnation is dropped: its process has been replaced.
-func (v *View) Hear(now time.Time, from frame.Hello, b *frame.Beat) (Change, bool) {
+func (v *View) Hear(now time.Time, from frame.Hello, b *frame.Heartbeat) (Change, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	was := v.members[from.VM]
@@ -268,7 +268,7 @@
 func (v *View) silence(now time.Time, m *Member) time.Duration {
 	d := now.Sub(m.Heard)
 	if m.Domain != v.domain || v.isLarge() {
-		d /= Far
+		d /= RemoteFactor
 	}
 	return d
 }
--- a/internal/mesh/view/view_test.go
+++ b/internal/mesh/view/view_test.go
@@ -18,7 +18,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(7000+n))
 }
 
-func hear(v *View, at time.Time, n int, inc uint64, b frame.Beat) (Change, bool) {
+func hear(v *View, at time.Time, n int, inc uint64, b frame.Heartbeat) (Change, bool) {
 	return v.Hear(at, frame.Hello{VM: vm(n), Inc: inc, Domain: "a"}, &b)
 }
 
@@ -27,16 +27,16 @@
 func TestOneBadLinkDropsNobody(t *testing.T) {
 	is := is.New(t)
 	v := New(vm(0), "a", began)
-	hear(v, began, 1, 1, frame.Beat{})
+	hear(v, began, 1, 1, frame.Heartbeat{})
 	for ms := 100; ms <= 10_000; ms += 100 {
 		at := began.Add(time.Duration(ms) * time.Millisecond)
-		hear(v, at, 2, 1, frame.Beat{})
+		hear(v, at, 2, 1, frame.Heartbeat{})
 		v.Tick(at)
 	}
 	is.Equal(v.Find(vm(1)).State, Suspect) // gets no work, keeps its slots
 	is.Equal(len(v.Domain(began, false)), 3)
 	at := began.Add(10_100 * time.Millisecond)
-	hear(v, at, 2, 1, frame.Beat{Doubts: []netip.AddrPort{vm(1)}})
+	hear(v, at, 2, 1, frame.Heartbeat{Doubts: []netip.AddrPort{vm(1)}})
 	v.Tick(at)
 	is.Equal(v.Find(vm(1)).State, Gone)
 }
@@ -45,9 +45,9 @@
 func TestGoneMemberIsDoubtedForAWhile(t *testing.T) {
 	is := is.New(t)
 	v := New(vm(0), "a", began)
-	hear(v, began, 1, 1, frame.Beat{})
+	hear(v, began, 1, 1, frame.Heartbeat{})
 	at := began.Add(goneAfter)
-	hear(v, at, 2, 1, frame.Beat{Doubts: []netip.AddrPort{vm(1)}})
+	hear(v, at, 2, 1, frame.Heartbeat{Doubts: []netip.AddrPort{vm(1)}})
 	v.Tick(at)
 	is.Equal(v.Find(vm(1)).State, Gone)
 	is.Equal(v.Doubts(at), []netip.AddrPort{vm(1)})
@@ -58,7 +58,7 @@
 func TestLoneVMDecidesLater(t *testing.T) {
 	is := is.New(t)
 	v := New(vm(0), "a", began)
-	hear(v, began, 1, 1, frame.Beat{})
+	hear(v, began, 1, 1, frame.Heartbeat{})
 	v.Tick(began.Add(2 * time.Second))
 	is.Equal(v.Find(vm(1)).State, Suspect)
 	v.Tick(began.Add(goneAloneAfter))
@@ -70,10 +70,10 @@
 func TestOldIncarnationIsDropped(t *testing.T) {
 	is := is.New(t)
 	v := New(vm(0), "a", began)
-	hear(v, began, 1, 5, frame.Beat{})
-	c, ok := hear(v, began, 1, 6, frame.Beat{Room: frame.Room{Free: 3}})
+	hear(v, began, 1, 5, frame.Heartbeat{})
+	c, ok := hear(v, began, 1, 6, frame.Heartbeat{Room: frame.Room{Free: 3}})
 	is.True(ok && c.Reborn)
-	_, ok = hear(v, began, 1, 5, frame.Beat{Room: frame.Room{Free: 9}})
+	_, ok = hear(v, began, 1, 5, frame.Heartbeat{Room: frame.Room{Free: 9}})
 	is.True(!ok)
 	is.Equal(v.Find(vm(1)).Beat.Room.Free, 3)
 }
@@ -83,7 +83,7 @@
 func TestLeftMemberIsGoneOnceSilent(t *testing.T) {
 	is := is.New(t)
 	v := New(vm(0), "a", began)
-	hear(v, began, 1, 1, frame.Beat{Leaving: true})
+	hear(v, began, 1, 1, frame.Heartbeat{Leaving: true})
 	is.Equal(len(v.Tick(began.Add(suspectAfter))), 0)
 	is.Equal(len(v.Tick(began.Add(goneAfter))), 1)
 	is.Equal(v.Find(vm(1)).State, Gone)
@@ -117,13 +117,13 @@
 		most = max(most, d)
 	}
 	is.Equal(len(degree), vms)
-	is.True(most <= 4*FarLinks)
+	is.True(most <= 4*RemoteLinks)
 }
 
 func TestOwnPauseSuspectsNobody(t *testing.T) {
 	is := is.New(t)
 	v := New(vm(0), "a", began)
-	hear(v, began, 1, 1, frame.Beat{})
+	hear(v, began, 1, 1, frame.Heartbeat{})
 	v.Resume(began.Add(20 * time.Second))
 	is.Equal(len(v.Tick(began.Add(20*time.Second))), 0)
 }
@@ -145,15 +145,15 @@
 	is := is.New(t)
 	v := New(vm(0), "a", began)
 	for i := 1; i < largeDomain; i++ {
-		hear(v, began, i, 1, frame.Beat{})
+		hear(v, began, i, 1, frame.Heartbeat{})
 	}
 	is.True(v.Often(v.Members()[0]))
 	later := began.Add(suspectAfter + Period)
 	is.Equal(len(v.Doubts(later)), largeDomain-1)
-	hear(v, began, largeDomain, 1, frame.Beat{})
+	hear(v, began, largeDomain, 1, frame.Heartbeat{})
 	is.True(!v.Often(v.Members()[0]))
 	is.Equal(len(v.Doubts(later)), 0)
-	is.Equal(len(v.Doubts(began.Add(Far*suspectAfter))), largeDomain)
+	is.Equal(len(v.Doubts(began.Add(RemoteFactor*suspectAfter))), largeDomain)
 }
 
 // Guards against a crash at the start: two goroutines read the members for the first time at once, the first marks the
--- a/internal/plat/agent/agent.go
+++ b/internal/plat/agent/agent.go
@@ -19,7 +19,7 @@
 
 // Start requests the start of a run.
 type Start struct {
-	Name  lease.Name
+	Name  lease.RunID
 	Spec  string
 	Until int64 // requested end of the lease, on the endpoint's clock in milliseconds
 	Fence uint64
@@ -40,7 +40,7 @@
 	Start(ctx context.Context, to Target, o Start) error
 	// Stop returns nil if the run will end and can never start later, and a *RefusedError if
 	// nothing was done, so that the run may continue or still start.
-	Stop(ctx context.Context, to Target, n lease.Name, fence uint64) error
+	Stop(ctx context.Context, to Target, n lease.RunID, fence uint64) error
 	// Renew returns the running and the ended runs.
 	Renew(ctx context.Context, to Target, o Renew) (lease.Report, error)
 	// Reach returns nil if the endpoint can be reached; it makes no request.
@@ -57,13 +57,13 @@
 
 // The refusals.
 const (
-	NoRoom  Refusal = iota // it has less free capacity than its owner assumes
-	Old                    // a later run of the task was started or stopped before
-	Late                   // the requested lease has already expired
-	Fenced                 // another VM owns the endpoint
-	Ill                    // the endpoint reports itself unhealthy
-	Dead                   // another instance answers at the address
-	Invalid                // the request is malformed
+	NoRoom        Refusal = iota // it has less free capacity than its owner assumes
+	Superseded                   // a later run of the task was started or stopped before
+	LeaseExpired                 // the requested lease has already expired
+	Fenced                       // another VM owns the endpoint
+	Unhealthy                    // the endpoint reports itself unhealthy
+	WrongInstance                // another instance answers at the address
+	Invalid                      // the request is malformed
 )
 
 var refusalNames = [...]string{"room", "old", "late", "fence", "ill", "dead", "invalid"}
--- a/internal/plat/fakes/leased.go
+++ b/internal/plat/fakes/leased.go
@@ -23,40 +23,40 @@
 }
 
 // Observer is notified of the runs on leased endpoints; the checker implements it.
-type Board interface {
+type Observer interface {
 	// Work returns the description of a task.
 	Work(task string) Work
-	Began(at time.Time, ep, task string, num int)
-	Over(at time.Time, ep, task string, num int, how lease.How)
+	RunStarted(at time.Time, ep, task string, num int)
+	RunEnded(at time.Time, ep, task string, num int, how lease.EndState)
 }
 
 // Behavior is how a leased endpoint behaves.
-type Manners struct {
-	Slow  float64       // factor of run times; 0 for the usual ones
-	Fail  bool          // every run fails
-	Hang  bool          // runs never finish
-	Mute  bool          // carries out requests without answering
-	Late  float64       // share of requests that are carried out late and not answered
-	Delay time.Duration // of the late requests
-	Ill   bool          // refuses requests as unhealthy
+type Behavior struct {
+	Slow   float64       // factor of run times; 0 for the usual ones
+	Fail   bool          // every run fails
+	Hang   bool          // runs never finish
+	Silent bool          // carries out requests without answering
+	Late   float64       // share of requests that are carried out late and not answered
+	Delay  time.Duration // of the late requests
+	Ill    bool          // refuses requests as unhealthy
 }
 
 // Leased is a fake endpoint that runs tasks under leases.
 type Leased struct {
 	lease.Info
-	observer Board
+	observer Observer
 	limits   lease.Limits
 	// Crashed is called when a task crashes the endpoint, which answers no call from then on.
 	Crashed func()
 
 	mu         sync.Mutex
-	behavior   Manners
+	behavior   Behavior
 	dead       bool
 	boot       time.Time
 	skew       time.Duration
 	fence      uint64
 	until      time.Time // end of the lease of all runs
-	runs       map[lease.Name]*running
+	runs       map[lease.RunID]*running
 	highestRun map[string]int // by task, the highest run that was stopped or ended
 	ends       []lease.Ended
 	serial     int64
@@ -68,20 +68,20 @@
 	began    time.Time
 	duration time.Duration
 	need     job.Size
-	how      lease.How
+	how      lease.EndState
 	timer    *time.Timer
 }
 
 // NewLeased returns an idle endpoint; its clock differs from ours by skew.
-func NewLeased(in lease.Info, limits lease.Limits, board Board, skew time.Duration, seed uint64) *Leased {
+func NewLeased(in lease.Info, limits lease.Limits, board Observer, skew time.Duration, seed uint64) *Leased {
 	return &Leased{
-		Info: in, observer: board, limits: limits, boot: time.Now(), skew: skew, runs: map[lease.Name]*running{},
+		Info: in, observer: board, limits: limits, boot: time.Now(), skew: skew, runs: map[lease.RunID]*running{},
 		highestRun: map[string]int{}, ended: make(chan struct{}), r: rand.New(rand.NewPCG(seed, 5)),
 	}
 }
 
 // Set changes the endpoint's behavior.
-func (e *Leased) Set(m Manners) {
+func (e *Leased) Set(m Behavior) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.behavior = m
@@ -95,7 +95,7 @@
 }
 
 // CurrentInfo returns the endpoint's description with its current capacity.
-func (e *Leased) Known() lease.Info {
+func (e *Leased) CurrentInfo() lease.Info {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.Info
@@ -122,7 +122,7 @@
 		return
 	}
 	e.mu.Lock()
-	e.behavior.Mute = true
+	e.behavior.Silent = true
 	e.mu.Unlock()
 	if e.Crashed != nil {
 		e.Crashed()
@@ -133,7 +133,7 @@
 func (e *Leased) Wake() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.behavior.Mute = false
+	e.behavior.Silent = false
 }
 
 // Dead reports whether the endpoint crashed.
@@ -171,11 +171,11 @@
 	lag := m.Late > 0 && e.r.Float64() < m.Late
 	e.mu.Unlock()
 	switch {
-	case m.Mute && e.Dead():
+	case m.Silent && e.Dead():
 		<-ctx.Done()
 		return errNoAnswer
 	case m.Ill:
-		return &agent.RefusedError{Why: agent.Ill}
+		return &agent.RefusedError{Why: agent.Unhealthy}
 	case lag:
 		time.AfterFunc(m.Delay, late)
 		<-ctx.Done()
@@ -187,7 +187,7 @@
 
 func (e *Leased) answer(ctx context.Context) error {
 	e.mu.Lock()
-	mute := e.behavior.Mute
+	mute := e.behavior.Silent
 	e.mu.Unlock()
 	if mute {
 		<-ctx.Done()
@@ -220,18 +220,18 @@
 	defer e.mu.Unlock()
 	switch {
 	case e.dead || id != e.ID:
-		return &agent.RefusedError{Why: agent.Dead}
+		return &agent.RefusedError{Why: agent.WrongInstance}
 	case e.checkFence(o.Fence) != nil:
 		return &agent.RefusedError{Why: agent.Fenced}
 	case o.Until <= e.clock():
-		return &agent.RefusedError{Why: agent.Late}
+		return &agent.RefusedError{Why: agent.LeaseExpired}
 	}
 	e.extend(o.Until)
 	if e.runs[o.Name] != nil {
 		return nil
 	}
 	if o.Name.Num <= e.highestRun[o.Name.Task] {
-		return &agent.RefusedError{Why: agent.Old}
+		return &agent.RefusedError{Why: agent.Superseded}
 	}
 	w := e.observer.Work(o.Name.Task)
 	used := e.used()
@@ -242,7 +242,7 @@
 	return nil
 }
 
-func (e *Leased) begin(n lease.Name, w Work) {
+func (e *Leased) begin(n lease.RunID, w Work) {
 	r := &running{began: time.Now(), duration: w.Run, need: w.Need, how: lease.Done}
 	if e.behavior.Slow > 0 {
 		r.duration = time.Duration(e.behavior.Slow * float64(r.duration))
@@ -254,7 +254,7 @@
 		r.duration = time.Hour
 	}
 	e.runs[n] = r
-	e.observer.Began(r.began, e.ID, n.Task, n.Num)
+	e.observer.RunStarted(r.began, e.ID, n.Task, n.Num)
 	if w.Crash {
 		time.AfterFunc(r.duration/2, e.crashSilently)
 		r.duration = time.Hour
@@ -269,14 +269,14 @@
 }
 
 // end ends a run; the caller holds the lock.
-func (e *Leased) end(n lease.Name, how lease.How) {
+func (e *Leased) end(n lease.RunID, how lease.EndState) {
 	r := e.runs[n]
 	r.timer.Stop()
 	delete(e.runs, n)
 	e.highestRun[n.Task] = max(e.highestRun[n.Task], n.Num)
 	e.serial++
-	e.ends = append(e.ends, lease.Ended{Serial: e.serial, Name: n.Task, Num: n.Num, How: how})
-	e.observer.Over(time.Now(), e.ID, n.Task, n.Num, how)
+	e.ends = append(e.ends, lease.Ended{Serial: e.serial, Name: n.Task, Num: n.Num, State: how})
+	e.observer.RunEnded(time.Now(), e.ID, n.Task, n.Num, how)
 	close(e.ended)
 	e.ended = make(chan struct{})
 }
@@ -302,7 +302,7 @@
 }
 
 // Stop carries out a stop request.
-func (e *Leased) Stop(ctx context.Context, id string, n lease.Name, fence uint64) error {
+func (e *Leased) Stop(ctx context.Context, id string, n lease.RunID, fence uint64) error {
 	if err := e.behave(ctx, func() { _ = e.stop(id, n, fence) }); err != nil {
 		return err
 	}
@@ -312,12 +312,12 @@
 	return e.answer(ctx)
 }
 
-func (e *Leased) stop(id string, n lease.Name, fence uint64) error {
+func (e *Leased) stop(id string, n lease.RunID, fence uint64) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
 	case e.dead || id != e.ID:
-		return &agent.RefusedError{Why: agent.Dead}
+		return &agent.RefusedError{Why: agent.WrongInstance}
 	case e.checkFence(fence) != nil:
 		return &agent.RefusedError{Why: agent.Fenced}
 	}
@@ -373,7 +373,7 @@
 func (e *Leased) hold(id string, o agent.Renew) error {
 	switch {
 	case e.dead || id != e.ID:
-		return &agent.RefusedError{Why: agent.Dead}
+		return &agent.RefusedError{Why: agent.WrongInstance}
 	case e.checkFence(o.Fence) != nil:
 		return &agent.RefusedError{Why: agent.Fenced}
 	}
--- a/internal/plat/fakes/leased_test.go
+++ b/internal/plat/fakes/leased_test.go
@@ -15,9 +15,9 @@
 // board has one task, which crashes its endpoint.
 type board struct{}
 
-func (board) Work(string) Work                               { return Work{Run: time.Second, Crash: true} }
-func (board) Began(time.Time, string, string, int)           {}
-func (board) Over(time.Time, string, string, int, lease.How) {}
+func (board) Work(string) Work                                        { return Work{Run: time.Second, Crash: true} }
+func (board) RunStarted(time.Time, string, string, int)               {}
+func (board) RunEnded(time.Time, string, string, int, lease.EndState) {}
 
 // The soak test reported a task that ran twice, on two instances of one endpoint. A crashed endpoint was
 // crashed again before its next instance started, so a third instance replaced the second, which kept running.
@@ -29,7 +29,7 @@
 		crashed := 0
 		e := NewLeased(lease.Info{ID: "e", Size: job.Size{Cores: 1}}, lease.Limits{Hold: time.Minute}, board{}, 0, 1)
 		e.Crashed = func() { crashed++ }
-		start := agent.Start{Name: lease.Name{Task: "t", Num: 1}, Until: e.clock() + time.Minute.Milliseconds()}
+		start := agent.Start{Name: lease.RunID{Task: "t", Num: 1}, Until: e.clock() + time.Minute.Milliseconds()}
 		is.NoErr(e.Start(t.Context(), "e", start))
 		is.True(e.Crash()) // before its task does so
 		is.True(!e.Crash())
--- a/internal/plat/fakes/topic.go
+++ b/internal/plat/fakes/topic.go
@@ -84,7 +84,7 @@
 }
 
 // Next implements feed.Source.
-func (t *Topic[T]) Next(ctx context.Context, from int64, a feed.Ask) (b feed.Batch[T], err error) {
+func (t *Topic[T]) Next(ctx context.Context, from int64, a feed.ReadOptions) (b feed.Batch[T], err error) {
 	wait := a.Wait
 	ends := time.NewTimer(wait)
 	defer ends.Stop()
@@ -99,8 +99,8 @@
 			return b, feed.ErrGone
 		case from < int64(len(t.all)) || wait <= 0:
 			b.End = int64(len(t.all))
-			b.Next = t.bound(from, a.Most)
-			b.All = append(b.All, t.all[from:b.Next]...)
+			b.Next = t.bound(from, a.MaxBytes)
+			b.Updates = append(b.Updates, t.all[from:b.Next]...)
 			t.mu.Unlock()
 			return b, nil
 		}
--- a/internal/plat/feed/backlog_test.go
+++ b/internal/plat/feed/backlog_test.go
@@ -16,15 +16,15 @@
 	return nil, 0, nil
 }
 
-func (u unreadSource) Next(context.Context, int64, Ask) (Batch[int], error) {
+func (u unreadSource) Next(context.Context, int64, ReadOptions) (Batch[int], error) {
 	u.t.Error("the store was read")
 	return Batch[int]{}, nil
 }
 
 func newListener(t *testing.T) *Relay[int] {
 	return (&Relay[int]{
-		Source: unreadSource{t}, Same: func(a, b int) bool { return a == b },
-		Reads: func() bool { return false }, Patience: func() time.Duration { return time.Second }, Alone: func(int64) {}, Reached: func(bool) {},
+		Source: unreadSource{t}, Equal: func(a, b int) bool { return a == b },
+		IsReader: func() bool { return false }, PostTimeout: func() time.Duration { return time.Second }, OnFallback: func(int64) {}, OnCall: func(bool) {},
 	}).Init()
 }
 
@@ -35,15 +35,15 @@
 	is := is.New(t)
 	r := newListener(t)
 	for at := int64(1); at <= 5; at++ {
-		p := Post[int]{From: at - 1, To: at, All: []Update[int]{{Key: "k", Value: int(at)}}}
+		p := Post[int]{From: at - 1, To: at, Updates: []Update[int]{{Key: "k", Value: int(at)}}}
 		r.Deliver(p) // from one reader
 		r.Deliver(p) // and from another
 	}
-	b, err := r.Next(t.Context(), 0, Ask{})
+	b, err := r.Next(t.Context(), 0, ReadOptions{})
 	is.NoErr(err)
 	is.Equal(b.Next, int64(5))
-	is.Equal(len(b.All), 1)
-	is.Equal(b.All[0].Value, 5)
+	is.Equal(len(b.Updates), 1)
+	is.Equal(b.Updates[0].Value, 5)
 	is.Equal(len(r.posts), 0)
 }
 
--- a/internal/plat/feed/feed.go
+++ b/internal/plat/feed/feed.go
@@ -26,20 +26,20 @@
 	// Newest returns the newest record of each key, and the offset to read next.
 	Newest(ctx context.Context) (all []Update[T], next int64, err error)
 	// Next returns the records added from an offset on.
-	Next(ctx context.Context, from int64, a Ask) (Batch[T], error)
+	Next(ctx context.Context, from int64, a ReadOptions) (Batch[T], error)
 }
 
 // ReadOptions bounds one call of Source.Next.
-type Ask struct {
-	Wait time.Duration // how long to wait for the first record
-	Most int           // of records, exceeded only by a single larger record; 0 for no bound
+type ReadOptions struct {
+	Wait     time.Duration // how long to wait for the first record
+	MaxBytes int           // of records, exceeded only by a single larger record; 0 for no bound
 }
 
 // Batch is the result of one read.
 type Batch[T any] struct {
-	All  []Update[T]
-	Next int64 // offset to read next
-	End  int64 // of the topic; there is more if it is beyond Next
+	Updates []Update[T]
+	Next    int64 // offset to read next
+	End     int64 // of the topic; there is more if it is beyond Next
 }
 
 // EndpointReadBytes bounds one read of the endpoints, in bytes.
@@ -50,21 +50,21 @@
 // this VM's heartbeats only at times, long after the store is back. A read of this size takes
 // 0.26 s of such a link. With 18 VMs, a third of them refused by the store for 9 s, it raised the
 // score from 0.431 to 0.514 (one simulated day).
-const Portion = 64 << 10
+const EndpointReadBytes = 64 << 10
 
 // Pace is how often and in what amounts a source is read.
 type Pace struct {
-	Wait  time.Duration // how long one read may wait for a record
-	Pause time.Duration // between two reads; calls to the store are billed
-	Most  int           // bytes of one read, 0 for no bound
+	Wait     time.Duration // how long one read may wait for a record
+	Pause    time.Duration // between two reads; calls to the store are billed
+	MaxBytes int           // bytes of one read, 0 for no bound
 	// SettledPause, if set, replaces Pause once the source has been followed for Settle.
-	Rest, Settle time.Duration
+	SettledPause, Settle time.Duration
 }
 
 // pause returns the time between two reads for a follower of the given age.
 func (p Pace) pause(age time.Duration) time.Duration {
-	if p.Rest > 0 && age > p.Settle {
-		return p.Rest
+	if p.SettledPause > 0 && age > p.Settle {
+		return p.SettledPause
 	}
 	return p.Pause
 }
@@ -86,7 +86,7 @@
 	// with an unusable record is passed as gone.
 	Apply func(updates []Update[T], whole bool)
 	// OnRead is called after each successful read.
-	Heard    func()
+	OnRead   func()
 	maxBytes int               // bound of the next read
 	unusable map[string]string // keys with unusable records, and the errors
 }
@@ -100,7 +100,7 @@
 	var next int64
 	known, down := false, false
 	backoff, start := minBackoff, time.Now()
-	f.maxBytes = f.Pace.Most
+	f.maxBytes = f.Pace.MaxBytes
 	for ctx.Err() == nil {
 		began := time.Now()
 		more, err := f.read(ctx, &known, &next)
@@ -121,7 +121,7 @@
 			f.Log.Info("store reachable again", "feed", f.Name, "from", next)
 		}
 		down, backoff = false, minBackoff
-		f.Heard()
+		f.OnRead()
 		if more {
 			continue
 		}
@@ -140,18 +140,18 @@
 		f.apply(all, true)
 		return false, nil
 	}
-	b, err := f.Source.Next(ctx, *next, Ask{Wait: f.Pace.Wait, Most: f.maxBytes})
+	b, err := f.Source.Next(ctx, *next, ReadOptions{Wait: f.Pace.Wait, MaxBytes: f.maxBytes})
 	if err != nil {
 		return false, err
 	}
-	f.maxBytes = f.Pace.Most
+	f.maxBytes = f.Pace.MaxBytes
 	if b.Next == *next && b.Next < b.End { // a record larger than the bound must not block the others
 		f.maxBytes = 0
 	}
 	more = b.Next > *next && b.Next < b.End
 	*next = b.Next
-	if len(b.All) > 0 {
-		f.apply(b.All, false)
+	if len(b.Updates) > 0 {
+		f.apply(b.Updates, false)
 	}
 	return more, nil
 }
--- a/internal/plat/feed/feed_test.go
+++ b/internal/plat/feed/feed_test.go
@@ -25,7 +25,7 @@
 		state := map[string]int{}
 		f := feed.Follower[int]{
 			Name: "test", Source: topic, Pace: feed.Pace{Pause: 100 * time.Millisecond}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-			Heard: func() {},
+			OnRead: func() {},
 			Apply: func(us []feed.Update[int], whole bool) {
 				if whole {
 					clear(state)
--- a/internal/plat/feed/narrow_test.go
+++ b/internal/plat/feed/narrow_test.go
@@ -26,9 +26,9 @@
 	limit time.Duration
 }
 
-func (s narrow) Next(ctx context.Context, from int64, a feed.Ask) (feed.Batch[int], error) {
+func (s narrow) Next(ctx context.Context, from int64, a feed.ReadOptions) (feed.Batch[int], error) {
 	b, err := s.Topic.Next(ctx, from, a)
-	takes := time.Duration(len(b.All)*fakes.RecordBytes) * time.Second / time.Duration(s.rate)
+	takes := time.Duration(len(b.Updates)*fakes.RecordBytes) * time.Second / time.Duration(s.rate)
 	if takes > s.limit {
 		time.Sleep(s.limit)
 		return feed.Batch[int]{}, errTimeout
@@ -47,8 +47,8 @@
 		src := narrow{fakes.NewTopic[int](), 250_000, 600 * time.Millisecond}
 		var seen atomic.Int64
 		f := feed.Follower[int]{
-			Name: "test", Source: src, Pace: feed.Pace{Pause: 400 * time.Millisecond, Most: feed.Portion}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-			Heard: func() {}, Apply: func(us []feed.Update[int], _ bool) { seen.Add(int64(len(us))) },
+			Name: "test", Source: src, Pace: feed.Pace{Pause: 400 * time.Millisecond, MaxBytes: feed.EndpointReadBytes}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+			OnRead: func() {}, Apply: func(us []feed.Update[int], _ bool) { seen.Add(int64(len(us))) },
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
@@ -83,8 +83,8 @@
 		src := &emptySource{Topic: fakes.NewTopic[int]()}
 		var seen atomic.Int64
 		f := feed.Follower[int]{
-			Name: "test", Source: src, Pace: feed.Pace{Pause: 100 * time.Millisecond, Most: 1}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-			Heard: func() {}, Apply: func(us []feed.Update[int], _ bool) { seen.Add(int64(len(us))) },
+			Name: "test", Source: src, Pace: feed.Pace{Pause: 100 * time.Millisecond, MaxBytes: 1}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+			OnRead: func() {}, Apply: func(us []feed.Update[int], _ bool) { seen.Add(int64(len(us))) },
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
@@ -103,10 +103,10 @@
 // emptySource is a source that returns no records to bounded reads.
 type emptySource struct{ *fakes.Topic[int] }
 
-func (s *emptySource) Next(ctx context.Context, from int64, a feed.Ask) (feed.Batch[int], error) {
+func (s *emptySource) Next(ctx context.Context, from int64, a feed.ReadOptions) (feed.Batch[int], error) {
 	b, err := s.Topic.Next(ctx, from, a)
-	if a.Most > 0 {
-		b.All, b.Next = nil, from
+	if a.MaxBytes > 0 {
+		b.Updates, b.Next = nil, from
 	}
 	return b, err
 }
--- a/internal/plat/feed/relay.go
+++ b/internal/plat/feed/relay.go
@@ -11,7 +11,7 @@
 // for other VMs to apply.
 type Post[T any] struct {
 	From, To int64
-	All      []Update[T]
+	Updates  []Update[T]
 	Whole    bool // a full copy of the topic at To
 }
 
@@ -28,25 +28,25 @@
 	Source[T]
 	// IsReader reports whether this VM is the reader now. VMs may disagree: two readers cost
 	// extra calls, none costs PostTimeout.
-	Reads func() bool
+	IsReader func() bool
 	// Share sends a post to the other VMs.
 	Share func(p Post[T])
 	// Equal reports whether a record equals the one before; such a record is not passed on.
-	Same func(was, is T) bool
+	Equal func(was, is T) bool
 	// PostTimeout is how long this VM waits for a post before it reads in the reader's place.
 	// It should differ from VM to VM: the first one to read passes its result on, so that
 	// the others need not read as well.
-	Patience func() time.Duration
+	PostTimeout func() time.Duration
 	// OnFallback is called with the offset from which this VM reads in the reader's place.
-	Alone func(from int64)
+	OnFallback func(from int64)
 	// RequestCopy asks another VM for its copy of the topic, which arrives as a whole post; false
 	// if no VM is known yet.
-	Ask func() bool
+	RequestCopy func() bool
 	// OnCall is called after each call to the store; ok is whether the store answered.
-	Reached func(ok bool)
+	OnCall func(ok bool)
 	// KeepWaiting reports whether a VM without any copy keeps waiting for one after some time.
 	// 180 VMs that start at once would read more than the store delivers within seconds.
-	Waits func(after time.Duration) bool
+	KeepWaiting func(after time.Duration) bool
 
 	posts chan Post[T]
 	// Only the follower's goroutine uses these.
@@ -82,7 +82,7 @@
 	}
 	p = Post[T]{To: r.offset, Whole: true}
 	for k, v := range r.values {
-		p.All = append(p.All, Update[T]{Key: k, Value: v})
+		p.Updates = append(p.Updates, Update[T]{Key: k, Value: v})
 	}
 	return p, true
 }
@@ -99,7 +99,7 @@
 func (r *Relay[T]) Newest(ctx context.Context) ([]Update[T], int64, error) {
 	if p, ok := r.fetchCopy(ctx); ok {
 		r.unverified = true
-		return r.replaceAll(p.All, p.To), p.To, nil
+		return r.replaceAll(p.Updates, p.To), p.To, nil
 	}
 	all, next, err := r.Source.Newest(ctx)
 	r.reportCall(ctx, err)
@@ -123,14 +123,14 @@
 func (r *Relay[T]) fetchCopy(ctx context.Context) (p Post[T], ok bool) {
 	began, asked, interval := time.Now(), time.Time{}, askInterval
 	for ctx.Err() == nil {
-		if time.Since(asked) >= interval && r.Ask() {
+		if time.Since(asked) >= interval && r.RequestCopy() {
 			if !asked.IsZero() {
 				interval *= 2 // a VM without a copy sends one once it has it
 			}
 			asked = time.Now()
 		}
 		wait := time.Duration(0)
-		if r.Waits(time.Since(began)) {
+		if r.KeepWaiting(time.Since(began)) {
 			wait = copyPoll
 		}
 		if p, ok = r.awaitCopy(ctx, wait); ok || wait == 0 {
@@ -171,37 +171,37 @@
 // If the store slows down, posts may arrive after PostTimeout; if all VMs then read themselves,
 // the store slows down further. So the reader waits less for records when responses take longer,
 // and the first VM whose PostTimeout ends reads for the rest.
-func (r *Relay[T]) Next(ctx context.Context, from int64, a Ask) (Batch[T], error) {
+func (r *Relay[T]) Next(ctx context.Context, from int64, a ReadOptions) (Batch[T], error) {
 	if r.unverified {
 		// The copy may lag; check the store now so that this VM doesn't lag further. While the
 		// store is unavailable, posts are applied, and the store is tried again after each.
-		b, err := r.read(ctx, from, Ask{Most: a.Most}, false)
+		b, err := r.read(ctx, from, ReadOptions{MaxBytes: a.MaxBytes}, false)
 		r.unverified = err != nil
-		if err == nil || errors.Is(err, ErrGone) || r.Reads() {
+		if err == nil || errors.Is(err, ErrGone) || r.IsReader() {
 			return b, err
 		}
 	}
-	if r.Reads() {
+	if r.IsReader() {
 		a.Wait = max(0, a.Wait-2*r.excessLatency)
 		return r.read(ctx, from, a, true)
 	}
 	p, found, missed := r.nextPost(ctx, from)
 	switch {
 	case found:
-		return Batch[T]{All: r.changed(p.All, p.To), Next: p.To, End: p.To}, nil
+		return Batch[T]{Updates: r.changed(p.Updates, p.To), Next: p.To, End: p.To}, nil
 	case ctx.Err() != nil:
 		return Batch[T]{}, ctx.Err() //nolint:wrapcheck // the follower ends
 	case missed:
 		return r.read(ctx, from, a, false)
 	default:
-		r.Alone(from)
+		r.OnFallback(from)
 		a.Wait = 0
 		return r.read(ctx, from, a, true)
 	}
 }
 
 // read reads the store from an offset on, and sends the result to the others if share is set.
-func (r *Relay[T]) read(ctx context.Context, from int64, a Ask, share bool) (Batch[T], error) {
+func (r *Relay[T]) read(ctx context.Context, from int64, a ReadOptions, share bool) (Batch[T], error) {
 	began := time.Now()
 	b, err := r.Source.Next(ctx, from, a)
 	r.reportCall(ctx, err)
@@ -212,9 +212,9 @@
 		return Batch[T]{}, err
 	}
 	r.excessLatency = max(0, time.Since(began)-a.Wait)
-	b.All = r.changed(b.All, b.Next)
+	b.Updates = r.changed(b.Updates, b.Next)
 	if share {
-		r.Share(Post[T]{From: from, To: b.Next, All: b.All})
+		r.Share(Post[T]{From: from, To: b.Next, Updates: b.Updates})
 	}
 	return b, nil
 }
@@ -222,13 +222,13 @@
 // reportCall reports to OnCall whether the store answered; ErrGone counts as an answer.
 func (r *Relay[T]) reportCall(ctx context.Context, err error) {
 	if ctx.Err() == nil {
-		r.Reached(err == nil || errors.Is(err, ErrGone))
+		r.OnCall(err == nil || errors.Is(err, ErrGone))
 	}
 }
 
 // nextPost waits for a post that continues from an offset; missed reports a gap before it.
 func (r *Relay[T]) nextPost(ctx context.Context, from int64) (p Post[T], found, missed bool) {
-	t := time.NewTimer(r.Patience())
+	t := time.NewTimer(r.PostTimeout())
 	defer t.Stop()
 	for {
 		select {
@@ -262,7 +262,7 @@
 			case next.From > p.To:
 				return p, false, true
 			default:
-				p.All, p.To = append(p.All, next.All...), next.To
+				p.Updates, p.To = append(p.Updates, next.Updates...), next.To
 			}
 		default:
 			return p, true, false
@@ -282,7 +282,7 @@
 		switch {
 		case u.Gone, u.Err != nil:
 			delete(r.values, u.Key)
-		case known && r.Same(was, u.Value):
+		case known && r.Equal(was, u.Value):
 			continue
 		default:
 			r.values[u.Key] = u.Value
--- a/internal/plat/feed/relay_test.go
+++ b/internal/plat/feed/relay_test.go
@@ -27,16 +27,16 @@
 // relay returns the relay of a VM that is no reader, waits a second for posts, and gets no copy.
 func relay(src feed.Source[int]) *feed.Relay[int] {
 	return (&feed.Relay[int]{
-		Source: src, Reads: func() bool { return false }, Same: func(was, is int) bool { return was == is },
-		Patience: func() time.Duration { return time.Second }, Share: func(feed.Post[int]) {}, Alone: func(int64) {}, Reached: func(bool) {},
-		Ask: func() bool { return true }, Waits: func(time.Duration) bool { return false },
+		Source: src, IsReader: func() bool { return false }, Equal: func(was, is int) bool { return was == is },
+		PostTimeout: func() time.Duration { return time.Second }, Share: func(feed.Post[int]) {}, OnFallback: func(int64) {}, OnCall: func(bool) {},
+		RequestCopy: func() bool { return true }, KeepWaiting: func(time.Duration) bool { return false },
 	}).Init()
 }
 
 func newPair() *pair {
 	p := &pair{topic: fakes.NewTopic[int](), reads: true}
 	p.a, p.b = relay(p.topic), relay(p.topic)
-	p.a.Reads = func() bool { return p.reads }
+	p.a.IsReader = func() bool { return p.reads }
 	p.a.Share = func(x feed.Post[int]) {
 		p.posts++
 		if !p.lost {
@@ -57,14 +57,14 @@
 		is.NoErr(err)
 		p.topic.Put("k", 1) // unchanged
 		p.topic.Put("l", 2)
-		_, err = p.a.Next(t.Context(), from, feed.Ask{})
+		_, err = p.a.Next(t.Context(), from, feed.ReadOptions{})
 		is.NoErr(err)
 		began := time.Now()
-		b, err := p.b.Next(t.Context(), at, feed.Ask{})
+		b, err := p.b.Next(t.Context(), at, feed.ReadOptions{})
 		is.NoErr(err)
 		is.Equal(time.Since(began), time.Duration(0))
-		is.Equal(len(b.All), 1)
-		is.Equal(b.All[0].Value, 2)
+		is.Equal(len(b.Updates), 1)
+		is.Equal(b.Updates[0].Value, 2)
 		is.Equal(b.Next, at+2)
 	})
 }
@@ -79,19 +79,19 @@
 		is.NoErr(err)
 		p.topic.Put("k", 1)
 		began := time.Now()
-		b, err := p.b.Next(t.Context(), at, feed.Ask{})
+		b, err := p.b.Next(t.Context(), at, feed.ReadOptions{})
 		is.NoErr(err)
 		is.Equal(time.Since(began), time.Second)
-		is.Equal(len(b.All), 1)
+		is.Equal(len(b.Updates), 1)
 		at = b.Next
 
 		p.topic.Put("k", 2)
 		p.b.Deliver(feed.Post[int]{From: at + 1, To: at + 2}) // the one before it was lost
 		began = time.Now()
-		b, err = p.b.Next(t.Context(), at, feed.Ask{})
+		b, err = p.b.Next(t.Context(), at, feed.ReadOptions{})
 		is.NoErr(err)
 		is.Equal(time.Since(began), time.Duration(0))
-		is.Equal(b.All[0].Value, 2)
+		is.Equal(b.Updates[0].Value, 2)
 	})
 }
 
@@ -104,7 +104,7 @@
 		_, from, err := p.a.Newest(t.Context())
 		is.NoErr(err)
 		p.topic.Down(true)
-		_, err = p.a.Next(t.Context(), from, feed.Ask{})
+		_, err = p.a.Next(t.Context(), from, feed.ReadOptions{})
 		is.True(err != nil && !errors.Is(err, feed.ErrGone))
 		is.Equal(p.posts, 0)
 	})
@@ -114,8 +114,8 @@
 // the copy arrives after a delay.
 func fresh(p *pair, answers time.Duration, waits func(time.Duration) bool) *feed.Relay[int] {
 	r := relay(p.topic)
-	r.Waits = waits
-	r.Ask = func() bool {
+	r.KeepWaiting = waits
+	r.RequestCopy = func() bool {
 		c, ok := p.a.Copy()
 		if ok {
 			time.AfterFunc(answers, func() { r.Deliver(c) })
@@ -162,11 +162,11 @@
 		is.NoErr(err)
 		is.Equal(all, []feed.Update[int]{{Key: "k", Value: 1}})
 		began := time.Now()
-		b, err := r.Next(t.Context(), at, feed.Ask{Wait: 900 * time.Millisecond})
+		b, err := r.Next(t.Context(), at, feed.ReadOptions{Wait: 900 * time.Millisecond})
 		is.NoErr(err)
-		is.Equal(b.All, []feed.Update[int]{{Key: "k", Value: 2}})
+		is.Equal(b.Updates, []feed.Update[int]{{Key: "k", Value: 2}})
 		is.Equal(time.Since(began), time.Duration(0))
-		_, err = r.Next(t.Context(), b.Next, feed.Ask{Wait: 900 * time.Millisecond})
+		_, err = r.Next(t.Context(), b.Next, feed.ReadOptions{Wait: 900 * time.Millisecond})
 		is.NoErr(err)
 		is.Equal(time.Since(began), time.Second) // then it waits for posts, as the others do
 	})
@@ -185,10 +185,10 @@
 		_, at, err := r.Newest(t.Context())
 		is.NoErr(err)
 		p.topic.Down(true)
-		r.Deliver(feed.Post[int]{From: from, To: from + 1, All: []feed.Update[int]{{Key: "k", Value: 2}}})
-		b, err := r.Next(t.Context(), at, feed.Ask{Wait: 900 * time.Millisecond})
+		r.Deliver(feed.Post[int]{From: from, To: from + 1, Updates: []feed.Update[int]{{Key: "k", Value: 2}}})
+		b, err := r.Next(t.Context(), at, feed.ReadOptions{Wait: 900 * time.Millisecond})
 		is.NoErr(err)
-		is.Equal(b.All, []feed.Update[int]{{Key: "k", Value: 2}})
+		is.Equal(b.Updates, []feed.Update[int]{{Key: "k", Value: 2}})
 	})
 }
 
@@ -208,7 +208,7 @@
 		p.topic.Put("k", 2)
 		p.topic.Put("k", 3)
 		p.topic.Compact()
-		_, err = r.Next(t.Context(), at, feed.Ask{})
+		_, err = r.Next(t.Context(), at, feed.ReadOptions{})
 		is.True(errors.Is(err, feed.ErrGone))
 		all, _, err := r.Newest(t.Context())
 		is.NoErr(err)
@@ -223,7 +223,7 @@
 	reads atomic.Int64
 }
 
-func (s *slow) Next(ctx context.Context, from int64, a feed.Ask) (feed.Batch[int], error) {
+func (s *slow) Next(ctx context.Context, from int64, a feed.ReadOptions) (feed.Batch[int], error) {
 	if ctx.Err() == nil {
 		s.reads.Add(1)
 	}
@@ -241,8 +241,8 @@
 	var wg sync.WaitGroup
 	for i := range all {
 		r := relay(src)
-		r.Reads = func() bool { return i == 0 }
-		r.Patience = func() time.Duration { return time.Second + time.Duration(min(i, 10))*50*time.Millisecond }
+		r.IsReader = func() bool { return i == 0 }
+		r.PostTimeout = func() time.Duration { return time.Second + time.Duration(min(i, 10))*50*time.Millisecond }
 		r.Share = func(p feed.Post[int]) {
 			for k, o := range all {
 				if k != i {
@@ -258,7 +258,7 @@
 		}
 		wg.Go(func() {
 			for at := int64(0); ctx.Err() == nil; {
-				b, err := r.Next(ctx, at, feed.Ask{Wait: 900 * time.Millisecond})
+				b, err := r.Next(ctx, at, feed.ReadOptions{Wait: 900 * time.Millisecond})
 				if err != nil {
 					return // the time is over
 				}
--- a/internal/plat/feed/unusable_test.go
+++ b/internal/plat/feed/unusable_test.go
@@ -36,7 +36,7 @@
 // written again unchanged. The copy still held the first entry and took the last for a repetition.
 func TestRecordAfterUnusableOneIsNew(t *testing.T) {
 	is := is.New(t)
-	r := (&Relay[int]{Same: func(a, b int) bool { return a == b }}).Init()
+	r := (&Relay[int]{Equal: func(a, b int) bool { return a == b }}).Init()
 	is.Equal(len(r.changed([]Update[int]{{Key: "k", Value: 1}}, 1)), 1)
 	is.Equal(len(r.changed([]Update[int]{{Key: "k", Value: 1}}, 2)), 0)
 	is.Equal(len(r.changed([]Update[int]{{Key: "k", Err: errors.New("useless")}}, 3)), 1)
--- a/internal/task/batch/batch.go
+++ b/internal/task/batch/batch.go
@@ -29,26 +29,26 @@
 	Attempts int           `msgpack:"a"` // failed runs of one task after which the job fails
 	Stretch  float64       `msgpack:"f"` // latency objective: this multiple of the work
 	Slack    time.Duration `msgpack:"s"` // plus this much
-	Left     time.Duration `msgpack:"l"` // until the answer is useless
+	TimeLeft time.Duration `msgpack:"l"` // until the answer is useless
 	Age      time.Duration `msgpack:"g,omitempty"`
 	Waited   time.Duration `msgpack:"w,omitempty"` // at other VMs, before it arrived here
 	// AskedAt is the earliest time at which the VM that answers the caller may have sent the job, by the clock
 	// of the VM that runs it; zero at the sending VM.
-	Asked time.Time `msgpack:"z,omitempty"`
-	Steps []Step    `msgpack:"t"`
+	AskedAt time.Time `msgpack:"z,omitempty"`
+	Steps   []Step    `msgpack:"t"`
 }
 
 // Step is a group of identical tasks that start together once the steps in After are done.
 type Step struct {
-	Count  int           `msgpack:"c"`
-	Need   job.Size      `msgpack:"n"`
-	Run    time.Duration `msgpack:"r,omitempty"` // declared run time, often far off; 0 if unknown
-	After  []int         `msgpack:"a,omitempty"`
-	Label  string        `msgpack:"l,omitempty"` // required of the endpoint
-	Near   string        `msgpack:"k,omitempty"` // rack that stores its data
-	Spread int           `msgpack:"s,omitempty"` // max tasks per endpoint; 0 for any number
-	Gang   bool          `msgpack:"g,omitempty"` // makes progress only while all its tasks run
-	Close  bool          `msgpack:"h,omitempty"` // slow unless all tasks run on one rack
+	Count    int           `msgpack:"c"`
+	Need     job.Size      `msgpack:"n"`
+	Run      time.Duration `msgpack:"r,omitempty"` // declared run time, often far off; 0 if unknown
+	After    []int         `msgpack:"a,omitempty"`
+	Label    string        `msgpack:"l,omitempty"` // required of the endpoint
+	Near     string        `msgpack:"k,omitempty"` // rack that stores its data
+	Spread   int           `msgpack:"s,omitempty"` // max tasks per endpoint; 0 for any number
+	Gang     bool          `msgpack:"g,omitempty"` // makes progress only while all its tasks run
+	SameRack bool          `msgpack:"h,omitempty"` // slow unless all tasks run on one rack
 }
 
 // Task identifies one task of a job.
@@ -103,7 +103,7 @@
 }
 
 // CriticalPath returns the length of the job's longest chain of steps, given each step's duration.
-func (j *Job) Chain(duration func(*Step) time.Duration) time.Duration {
+func (j *Job) CriticalPath(duration func(*Step) time.Duration) time.Duration {
 	ends := make([]time.Duration, len(j.Steps))
 	var longest time.Duration
 	for i := range j.Steps {
@@ -119,7 +119,7 @@
 }
 
 // Objective returns the latency objective of a job whose critical path takes the given time.
-func (j *Job) Aim(work time.Duration) time.Duration {
+func (j *Job) Objective(work time.Duration) time.Duration {
 	return time.Duration(j.Stretch*float64(work)) + j.Slack
 }
 
--- a/internal/task/flow/admit.go
+++ b/internal/task/flow/admit.go
@@ -15,7 +15,7 @@
 	// minRetryAfter keeps refused callers from coming back at once.
 	minRetryAfter = 100 * time.Millisecond
 	// MaxGrant is the largest number of tickets in one grant.
-	MostGrant = 256
+	MaxGrant = 256
 )
 
 // validate checks a submission against the document, whatever the load, and fills in
@@ -32,17 +32,17 @@
 		return job.Refuse(job.Impossible, 0, "tasks: %d are over the limit of %d; send several jobs", len(req.Tasks), limits.Tasks)
 	case req.Bytes() > limits.Bytes:
 		return job.Refuse(job.Impossible, 0, "tasks: %d bytes are over the limit of %d", req.Bytes(), limits.Bytes)
-	case req.Left < 0:
-		return job.Refuse(job.BadRequest, 0, "deadline: %s is negative; leave it out for the class's", req.Left)
-	case req.Left > limits.Deadline.Std():
-		return job.Refuse(job.BadRequest, 0, "deadline: %s is over the limit of %s", req.Left, limits.Deadline.Std())
-	case req.Grant < 0 || req.Grant > MostGrant:
-		return job.Refuse(job.BadRequest, 0, "grant: %d tickets; ask for 0 to %d", req.Grant, MostGrant)
+	case req.TimeLeft < 0:
+		return job.Refuse(job.BadRequest, 0, "deadline: %s is negative; leave it out for the class's", req.TimeLeft)
+	case req.TimeLeft > limits.Deadline.Std():
+		return job.Refuse(job.BadRequest, 0, "deadline: %s is over the limit of %s", req.TimeLeft, limits.Deadline.Std())
+	case req.Grant < 0 || req.Grant > MaxGrant:
+		return job.Refuse(job.BadRequest, 0, "grant: %d tickets; ask for 0 to %d", req.Grant, MaxGrant)
 	case class.Once && req.Ticket == "":
 		return job.Refuse(job.BadTicket, 0, "ticket: class %s is non-idempotent; take a ticket first and send it along", req.Class)
 	}
-	if req.Left == 0 {
-		req.Left = class.Deadline.Std()
+	if req.TimeLeft == 0 {
+		req.TimeLeft = class.Deadline.Std()
 	}
 	return nil
 }
@@ -55,7 +55,7 @@
 	if n.table.Known() == 0 {
 		return job.Refuse(job.NoEndpoint, time.Second, "no endpoint is known")
 	}
-	largest := n.table.Most()
+	largest := n.table.MaxSize()
 	for i := range req.Tasks {
 		if !req.Tasks[i].Need.Fits(largest) {
 			return job.Refuse(job.Impossible, 0, "tasks[%d].need: more than any endpoint has, which is %v cores, %v GiB, %v accelerators", i, largest.Cores, largest.Memory, largest.Accels)
@@ -64,7 +64,7 @@
 	if n.bytes.Load()+req.Bytes() > n.cfg.Memory {
 		return job.Refuse(job.Overload, minRetryAfter, "this VM holds as many bytes of submissions as it may")
 	}
-	if !n.cfg.Foresight {
+	if !n.cfg.EarlyReject {
 		return nil
 	}
 	return n.checkDeadline(class, req, now)
@@ -76,12 +76,12 @@
 	e := n.learn.Expect(learnKey(req), req.Tasks[0].Run)
 	wait := n.expectedWait(class.Band, now)
 	need := time.Duration(waitMargin*float64(wait)) + n.runTime(e.Mean, len(req.Tasks))
-	if need <= req.Left {
+	if need <= req.TimeLeft {
 		return nil
 	}
-	retry := max(minRetryAfter, min(wait, need-req.Left))
+	retry := max(minRetryAfter, min(wait, need-req.TimeLeft))
 	retry += rand.N(retry/4 + 1) // jitter, so that refused callers don't come back together
-	return job.Refuse(job.Overload, retry, "it would take about %s, more than the %s it has", need.Round(time.Millisecond), req.Left)
+	return job.Refuse(job.Overload, retry, "it would take about %s, more than the %s it has", need.Round(time.Millisecond), req.TimeLeft)
 }
 
 // runTime predicts how long tasks of a mean run time take on this VM's slots once
--- a/internal/task/flow/attempt.go
+++ b/internal/task/flow/attempt.go
@@ -59,7 +59,7 @@
 	n := a.n
 	defer n.running.Add(-1) // runs last: a drain must not end before the report is sent
 	r := n.deps.Runner.Run(n.ctx, a.ep.Addr, Exchange{
-		Attempt: n.attemptID(), Body: a.task.Body, Until: a.due, Begin: a.begin,
+		AttemptID: n.attemptID(), Body: a.task.Body, Deadline: a.due, Begin: a.begin,
 	})
 	now := n.now()
 	a.recordHealth(now, r)
@@ -86,7 +86,7 @@
 		return false
 	}
 	a.sent = now
-	a.n.deps.Meter.Start()
+	a.n.deps.Meter.AddStart()
 	return true
 }
 
@@ -94,17 +94,17 @@
 func (a *attempt) recordHealth(now time.Time, r Result) {
 	n := a.n
 	rep := health.Report{Addr: a.ep.Addr, Kind: a.key.Tenant + "/" + a.key.Kind}
-	switch r.Ending {
+	switch r.Status {
 	case Ran:
 		rep.End, rep.Ran = health.OK, now.Sub(a.sent)
-		rep.Usual = n.learn.Expect(a.key, a.task.Run).Mean
-		n.learn.Note(a.key, rep.Ran)
-	case RanBadly:
+		rep.Expected = n.learn.Expect(a.key, a.task.Run).Mean
+		n.learn.Record(a.key, rep.Ran)
+	case Failed:
 		rep.End = health.Bad
 	case Lost:
 		rep.End = health.Silent
 	case Refused:
-		a.ep.Full(now)
+		a.ep.MarkFull(now)
 		n.deps.Timers.After(refusalBackoff, n.pump)
 		return
 	case Unsent:
@@ -113,20 +113,20 @@
 		}
 		rep.End = health.Unreachable
 	}
-	a.ep.SetLimit(n.health.Note(now, rep))
-	if r.Ending == Ran || r.Ending == RanBadly {
-		a.ep.Hear(now)
+	a.ep.SetLimit(n.health.Record(now, rep))
+	if r.Status == Ran || r.Status == Failed {
+		a.ep.Answered(now)
 	}
 }
 
 var attemptEvents = [...]tries.Event{
-	Unsent: tries.Balk, Refused: tries.Refuse, Ran: tries.Answer, RanBadly: tries.Answer, Lost: tries.Lose,
+	Unsent: tries.SendFailed, Refused: tries.Refuse, Ran: tries.Answer, Failed: tries.Answer, Lost: tries.Disconnect,
 }
 
 // report reports the result to the owner, by the attempt's final state.
 func (a *attempt) report(now time.Time, r Result) {
 	sent := a.state.State() == tries.Sent
-	if err := a.state.On(attemptEvents[r.Ending]); err != nil {
+	if err := a.state.On(attemptEvents[r.Status]); err != nil {
 		a.n.deps.Log.Error("invalid attempt event", "err", err) // inconsistent runner: assume the worst
 		a.owner.lost(err.Error())
 		return
@@ -138,9 +138,9 @@
 	switch {
 	case a.state.MayRetry():
 		a.reportNotStarted(now, sent, r.Err != nil || sent, detail)
-	case r.Ending == Ran:
+	case r.Status == Ran:
 		a.owner.ran(r.Body, now.Sub(a.sent))
-	case r.Ending == RanBadly:
+	case r.Status == Failed:
 		a.owner.failed(detail)
 	default:
 		a.owner.lost(detail)
@@ -156,7 +156,7 @@
 		return
 	}
 	if sent {
-		n.deps.Meter.Waste(meterRefusal, 1)
+		n.deps.Meter.AddWasted(meterRefusal, 1)
 	}
 	a.owner.notStarted(sent, n.takeRetry(now, a.ep.Domain), a.ep.Domain, detail)
 }
@@ -166,6 +166,6 @@
 	if !n.budget.Spend(now, domain) {
 		return job.OutOfBudget
 	}
-	n.deps.Meter.Waste(meterRetry, 1)
+	n.deps.Meter.AddWasted(meterRetry, 1)
 	return job.NoReason
 }
--- a/internal/task/flow/beat.go
+++ b/internal/task/flow/beat.go
@@ -21,23 +21,23 @@
 		if !m.Speaks() {
 			continue
 		}
-		if m.Domain == n.cfg.Domain || (round+int64(i))%view.Far == 0 || b.Leaving {
+		if m.Domain == n.cfg.Domain || (round+int64(i))%view.RemoteFactor == 0 || b.Leaving {
 			n.sendBeat(m, b)
 		}
 	}
 	n.pump()
 }
 
-func (n *Node) sendBeat(m *view.Member, b *frame.Beat) {
-	if n.deps.Mesh.Cast(m.VM, b) == nil {
-		n.deps.Meter.Waste(meterGossip, 1)
+func (n *Node) sendBeat(m *view.Member, b *frame.Heartbeat) {
+	if n.deps.Mesh.Send(m.VM, b) == nil {
+		n.deps.Meter.AddWasted(meterGossip, 1)
 	}
 }
 
-func (n *Node) newBeat(now time.Time) *frame.Beat {
-	b := &frame.Beat{
+func (n *Node) newBeat(now time.Time) *frame.Heartbeat {
+	b := &frame.Heartbeat{
 		At: now, Room: n.room(now), Queued: n.Waiting(), Wait: n.expectedWait(job.Routine, now),
-		Use: n.quota.Tick(now, view.Period), Leaving: n.draining.Load(), Doubts: n.view.Doubts(now), Out: n.health.Out(),
+		Use: n.quota.Tick(now, view.Period), Leaving: n.draining.Load(), Doubts: n.view.Doubts(now), Out: n.health.Ejected(),
 	}
 	n.listMu.Lock()
 	for a, notice := range n.leaving {
