--- a/internal/task/flow/config.go
+++ b/internal/task/flow/config.go
@@ -13,7 +13,7 @@
 
 // RevisionStore holds the newest known revision of the document; keeper.Keeper
 // implements it.
-type Docs interface {
+type RevisionStore interface {
 	// Offer submits a peer's revision.
 	Offer(fold.Revision)
 	// Current returns the revision to send to peers.
@@ -21,7 +21,7 @@
 }
 
 // SetRevisionStore sets the store for revisions from peers.
-func (n *Node) Bind(d Docs) { n.revisions.Store(&d) }
+func (n *Node) SetRevisionStore(d RevisionStore) { n.revisions.Store(&d) }
 
 // Apply puts a revision in force. It ignores one that is not newer than the current.
 func (n *Node) Apply(r fold.Revision) error {
@@ -36,7 +36,7 @@
 	for name, t := range d.Tenants {
 		limits[name] = quota.Limit{Rate: t.Rate, Slots: t.Slots}
 	}
-	n.quota.Declare(n.now(), limits)
+	n.quota.SetLimits(n.now(), limits)
 	n.conf.Store(&conf{rev: r, doc: d, keys: doc.NewKeyring(d), since: n.now()})
 	n.deps.Log.Info("document in force", "rev", r.Rev, "author", r.Author)
 	n.rehome()
@@ -54,10 +54,10 @@
 }
 
 // requestNewer asks a peer for its revision if that is newer.
-func (n *Node) requestNewer(vm netip.AddrPort, b *frame.Beat) {
+func (n *Node) requestNewer(vm netip.AddrPort, b *frame.Heartbeat) {
 	c := n.conf.Load()
 	if b.Rev > 0 && (c == nil || c.rev.Rev < b.Rev) {
-		_ = n.deps.Mesh.Cast(vm, &frame.Want{}) // the next heartbeat tries again
+		_ = n.deps.Mesh.Send(vm, &frame.DocumentRequest{}) // the next heartbeat tries again
 	}
 }
 
@@ -67,11 +67,11 @@
 		return
 	}
 	if r, ok := (*d).Current(); ok {
-		_ = n.deps.Mesh.Cast(from.VM, &frame.Have{Revision: r}) // the peer asks again at the next heartbeat
+		_ = n.deps.Mesh.Send(from.VM, &frame.Document{Revision: r}) // the peer asks again at the next heartbeat
 	}
 }
 
-func (n *Node) receiveHave(h *frame.Have) {
+func (n *Node) receiveHave(h *frame.Document) {
 	if d := n.revisions.Load(); d != nil {
 		(*d).Offer(h.Revision)
 	}
--- a/internal/task/flow/deps.go
+++ b/internal/task/flow/deps.go
@@ -16,29 +16,29 @@
 
 // Exchange is one attempt to run a task on an endpoint.
 type Exchange struct {
-	Attempt string // unique ID; answers are matched by the exchange, never by order
-	Body    []byte
-	Until   time.Time // after this, nobody waits for the answer
+	AttemptID string // unique ID; answers are matched by the exchange, never by order
+	Body      []byte
+	Deadline  time.Time // after this, nobody waits for the answer
 	// Begin is called right before sending the first byte that could start the task.
 	// If it returns false, the task must not be sent.
 	Begin func() bool
 }
 
 // Status is the way in which an exchange ended.
-type Ending uint8
+type Status uint8
 
 // The statuses of an exchange.
 const (
-	Unsent   Ending = iota // nothing that could start the task was sent
-	Refused                // the endpoint answered "not started"
-	Ran                    // the task ran and succeeded; Body is its result
-	RanBadly               // the task ran and failed
-	Lost                   // the task was sent, but no complete answer came
+	Unsent  Status = iota // nothing that could start the task was sent
+	Refused               // the endpoint answered "not started"
+	Ran                   // the task ran and succeeded; Body is its result
+	Failed                // the task ran and failed
+	Lost                  // the task was sent, but no complete answer came
 )
 
 // Result is the result of an exchange.
 type Result struct {
-	Ending  Ending
+	Status  Status
 	Body    []byte
 	Leaving bool // the endpoint announced that it leaves
 	Err     error
@@ -48,15 +48,15 @@
 type Runner interface {
 	Run(ctx context.Context, at netip.AddrPort, x Exchange) Result
 	// Probe returns an error if the endpoint doesn't answer, else whether it leaves.
-	Ask(ctx context.Context, at netip.AddrPort) (leaving bool, err error)
+	Probe(ctx context.Context, at netip.AddrPort) (leaving bool, err error)
 }
 
 // Mesh carries messages to other entry VMs. Messages to one incarnation arrive
 // once and in order, or that incarnation is reported gone.
 type Mesh interface {
-	Cast(to netip.AddrPort, m frame.Msg) error
+	Send(to netip.AddrPort, m frame.Msg) error
 	// Reach opens a link to a VM if there is none and returns the VM's incarnation.
-	Reach(ctx context.Context, vm netip.AddrPort) (inc uint64, err error)
+	Connect(ctx context.Context, vm netip.AddrPort) (inc uint64, err error)
 }
 
 // ErrNoLink is returned by a Mesh that has no link to the VM; nothing was sent.
@@ -64,31 +64,31 @@
 
 // Config holds the settings of a node.
 type Config struct {
-	Self      netip.AddrPort // mesh address
-	Domain    string         // failure domain
-	Inc       uint64         // incarnation
-	Secret    []byte         // authenticates tickets
-	Policy    string         // one of place.Names
-	Memory    int64          // limit on the bytes of waiting and running submissions
-	Term      time.Duration  // how long a ticket is valid
-	Tickets   int            // limit on the used tickets remembered
-	Retries   float64        // retries per first try
-	Spill     bool           // give waiting tasks to other VMs
-	Stretch   float64        // weight of a job's size in its rank; 0 is first come, first served
-	Foresight bool           // refuse jobs at once that would miss their deadline
+	Self        netip.AddrPort // mesh address
+	Domain      string         // failure domain
+	Inc         uint64         // incarnation
+	Secret      []byte         // authenticates tickets
+	Policy      string         // one of place.Names
+	Memory      int64          // limit on the bytes of waiting and running submissions
+	TicketTerm  time.Duration  // how long a ticket is valid
+	MaxTickets  int            // limit on the used tickets remembered
+	RetryRatio  float64        // retries per first try
+	Spill       bool           // give waiting tasks to other VMs
+	SizeWeight  float64        // weight of a job's size in its rank; 0 is first come, first served
+	EarlyReject bool           // refuse jobs at once that would miss their deadline
 }
 
 // The defaults of Config.
 const (
-	DefaultMemory  = 64 << 20
-	DefaultTerm    = 10 * time.Minute
-	DefaultTickets = 200_000
-	DefaultRetries = 0.1
-	DefaultStretch = 4
+	DefaultMemory     = 64 << 20
+	DefaultTicketTerm = 10 * time.Minute
+	DefaultMaxTickets = 200_000
+	DefaultRetryRatio = 0.1
+	DefaultSizeWeight = 4
 )
 
 // Deps are the dependencies of a node.
-type Parts struct {
+type Deps struct {
 	Timers *timer.Service
 	Runner Runner
 	Mesh   Mesh
--- a/internal/task/flow/forward.go
+++ b/internal/task/flow/forward.go
@@ -101,7 +101,7 @@
 
 // join waits for the answer of a running submission with the same ticket.
 func (n *Node) join(ctx context.Context, req *job.Request, u *ticket.Use) *job.Answer {
-	n.deps.Meter.Waste(meterDuplicate, 1)
+	n.deps.Meter.AddWasted(meterDuplicate, 1)
 	ctx, cancel := context.WithTimeout(ctx, max(n.answerTimeout(req), forwardGrace))
 	defer cancel()
 	select {
@@ -111,7 +111,7 @@
 		}
 		return n.ticketAnswer(u, ticket.Forgotten)
 	case <-ctx.Done():
-		return job.Doubt(job.StillRuns, "the same submission is still running; ask after its ticket")
+		return job.UnknownAnswer(job.StillRuns, "the same submission is still running; ask after its ticket")
 	}
 }
 
@@ -124,20 +124,20 @@
 		}
 		return n.ticketAnswer(u, ticket.Forgotten)
 	case ticket.Running:
-		return job.Doubt(job.StillRuns, "it is running")
+		return job.UnknownAnswer(job.StillRuns, "it is running")
 	case ticket.Forgotten:
 		switch o := n.tickets.Outcome(u); o {
 		case job.Refused:
 			return job.Refuse(job.NotHeld, 0, "it was refused and nothing ran")
 		case job.Unknown:
-			return job.Doubt(job.NotHeld, "it ended as unknown")
+			return job.UnknownAnswer(job.NotHeld, "it ended as unknown")
 		default:
 			return &job.Answer{Outcome: job.Failed, Reason: job.NotHeld, Detail: "it ran and ended as " + o.String() + "; its answer is no longer held"}
 		}
 	case ticket.Late:
-		return job.Doubt(job.NotHeld, "the ticket's term is over and its use is not remembered; nothing was started now")
+		return job.UnknownAnswer(job.NotHeld, "the ticket's term is over and its use is not remembered; nothing was started now")
 	case ticket.Full:
-		return job.Doubt(job.Overload, "this VM remembers as many tickets as it may; nothing was started now, but a copy that comes later may be")
+		return job.UnknownAnswer(job.Overload, "this VM remembers as many tickets as it may; nothing was started now, but a copy that comes later may be")
 	case ticket.Misused:
 		return job.Refuse(job.BadTicket, 0, "ticket: it was used for another request; of this one nothing was started")
 	default:
@@ -146,21 +146,21 @@
 }
 
 // LookupTicket returns what became of a ticket's submission. It voids an unused ticket.
-func (n *Node) Ask(ctx context.Context, tenant, text string) *job.Answer {
+func (n *Node) LookupTicket(ctx context.Context, tenant, text string) *job.Answer {
 	t, err := ticket.Parse(text)
 	if err != nil {
 		return job.Refuse(job.BadTicket, 0, "ticket: %v", err)
 	}
 	u, v := n.tickets.Void(n.now(), t, tenant)
 	if v == ticket.Elsewhere {
-		req := &job.Request{Tenant: tenant, Ticket: text, Left: time.Second}
+		req := &job.Request{Tenant: tenant, Ticket: text, TimeLeft: time.Second}
 		return n.forwardTicketed(ctx, req, t, true)
 	}
 	return n.ticketAnswer(u, v)
 }
 
 // CancelTicket cancels the submission that runs under a ticket and returns its answer.
-func (n *Node) Stop(ctx context.Context, tenant, text string) *job.Answer {
+func (n *Node) CancelTicket(ctx context.Context, tenant, text string) *job.Answer {
 	t, err := ticket.Parse(text)
 	if err != nil {
 		return job.Refuse(job.BadTicket, 0, "ticket: %v", err)
@@ -168,15 +168,15 @@
 	u, v := n.tickets.Void(n.now(), t, tenant)
 	switch v {
 	case ticket.Elsewhere:
-		req := &job.Request{Tenant: tenant, Ticket: text, Left: time.Second}
-		return n.forward(ctx, t.VM, t.Inc, &frame.Submit{Req: *req, Look: true, Stop: true})
+		req := &job.Request{Tenant: tenant, Ticket: text, TimeLeft: time.Second}
+		return n.forward(ctx, t.VM, t.Inc, &frame.Submit{Req: *req, QueryOnly: true, Cancel: true})
 	case ticket.Running:
 		n.ticketMu.Lock()
 		if run := n.ticketRuns[t.Seq()]; run != nil {
 			run.cancel()
 		}
 		n.ticketMu.Unlock()
-		return n.join(ctx, &job.Request{Left: time.Second}, u)
+		return n.join(ctx, &job.Request{TimeLeft: time.Second}, u)
 	default:
 		return n.ticketAnswer(u, v)
 	}
@@ -184,7 +184,7 @@
 
 // forwardTicketed forwards a submission to the VM that issued its ticket.
 func (n *Node) forwardTicketed(ctx context.Context, req *job.Request, t ticket.Ticket, lookup bool) *job.Answer {
-	return n.forward(ctx, t.VM, t.Inc, &frame.Submit{Req: *req, Look: lookup})
+	return n.forward(ctx, t.VM, t.Inc, &frame.Submit{Req: *req, QueryOnly: lookup})
 }
 
 // forwardAny forwards a submission without a ticket to a usable peer, because this VM
@@ -215,7 +215,7 @@
 // forward sends a submission to one incarnation of a VM and waits for the answer.
 // Callers supply the address in their tickets, so only members of the view are used.
 func (n *Node) forward(ctx context.Context, vm netip.AddrPort, inc uint64, s *frame.Submit) *job.Answer {
-	unreachable := job.Doubt(job.GoneTicket, "the VM that issued the ticket can't be reached; nothing was started here; take a new ticket once you know that the old one did not run")
+	unreachable := job.UnknownAnswer(job.GoneTicket, "the VM that issued the ticket can't be reached; nothing was started here; take a new ticket once you know that the old one did not run")
 	if !n.reachable(ctx, vm, inc) {
 		return unreachable
 	}
@@ -229,17 +229,17 @@
 		delete(n.calls, s.Call)
 		n.callMu.Unlock()
 	}()
-	if err := n.deps.Mesh.Cast(vm, s); err != nil && !n.castAfterConnect(ctx, vm, inc, s) {
+	if err := n.deps.Mesh.Send(vm, s); err != nil && !n.castAfterConnect(ctx, vm, inc, s) {
 		return unreachable
 	}
-	n.deps.Meter.Waste(meterForward, 1)
+	n.deps.Meter.AddWasted(meterForward, 1)
 	ctx, cancel := context.WithTimeout(ctx, n.answerTimeout(&s.Req)+forwardGrace)
 	defer cancel()
 	select {
 	case a := <-c.answer:
 		return a
 	case <-ctx.Done():
-		return job.Doubt(job.Silent, "the VM that it was handed to did not answer in time")
+		return job.UnknownAnswer(job.Silent, "the VM that it was handed to did not answer in time")
 	}
 }
 
@@ -248,15 +248,15 @@
 func (n *Node) castAfterConnect(ctx context.Context, vm netip.AddrPort, inc uint64, s *frame.Submit) bool {
 	ctx, cancel := context.WithTimeout(ctx, reachTimeout)
 	defer cancel()
-	current, err := n.deps.Mesh.Reach(ctx, vm)
-	return err == nil && current == inc && n.deps.Mesh.Cast(vm, s) == nil
+	current, err := n.deps.Mesh.Connect(ctx, vm)
+	return err == nil && current == inc && n.deps.Mesh.Send(vm, s) == nil
 }
 
 // answerTimeout is how long to wait for a submission's answer: its remaining time, else
 // its class's deadline, else 10 s.
 func (n *Node) answerTimeout(req *job.Request) time.Duration {
-	if req.Left > 0 {
-		return req.Left
+	if req.TimeLeft > 0 {
+		return req.TimeLeft
 	}
 	if k, ok := n.Class(req.Class); ok {
 		return k.Deadline.Std()
@@ -276,7 +276,7 @@
 	case m.State == view.Listed:
 		ctx, cancel := context.WithTimeout(ctx, reachTimeout)
 		defer cancel()
-		current, err := n.deps.Mesh.Reach(ctx, vm)
+		current, err := n.deps.Mesh.Connect(ctx, vm)
 		return err == nil && current == inc
 	default:
 		return false
@@ -294,7 +294,7 @@
 			continue
 		}
 		select {
-		case c.answer <- job.Doubt(job.Silent, "the VM that it was handed to is gone"):
+		case c.answer <- job.UnknownAnswer(job.Silent, "the VM that it was handed to is gone"):
 		default:
 		}
 	}
@@ -306,7 +306,7 @@
 	n.wg.Go(func() {
 		defer n.active.Add(-1)
 		a := n.serveSubmit(s)
-		if err := n.deps.Mesh.Cast(from.VM, &frame.Reply{To: from.Inc, Call: s.Call, Answer: *a}); err != nil {
+		if err := n.deps.Mesh.Send(from.VM, &frame.SubmitReply{To: from.Inc, Call: s.Call, Answer: *a}); err != nil {
 			n.deps.Log.Warn("cannot send reply to peer", "to", from.VM, "msg", "reply", "err", err)
 		}
 	})
@@ -314,18 +314,18 @@
 
 func (n *Node) serveSubmit(s *frame.Submit) *job.Answer {
 	req := &s.Req
-	if s.Stop {
-		return n.Stop(n.ctx, req.Tenant, req.Ticket)
+	if s.Cancel {
+		return n.CancelTicket(n.ctx, req.Tenant, req.Ticket)
 	}
-	if s.Look {
-		return n.Ask(n.ctx, req.Tenant, req.Ticket)
+	if s.QueryOnly {
+		return n.LookupTicket(n.ctx, req.Tenant, req.Ticket)
 	}
 	if req.Ticket == "" {
 		return n.serveForwarded(req)
 	}
 	t, err := ticket.Parse(req.Ticket)
 	if err != nil || t.VM != n.cfg.Self || t.Inc != n.cfg.Inc {
-		return job.Doubt(job.GoneTicket, "the incarnation that issued the ticket is gone; nothing was started here")
+		return job.UnknownAnswer(job.GoneTicket, "the incarnation that issued the ticket is gone; nothing was started here")
 	}
 	return n.runTicketed(n.ctx, req)
 }
@@ -345,12 +345,12 @@
 	return n.run(n.ctx, req)
 }
 
-func (n *Node) receiveReply(from frame.Hello, r *frame.Reply) {
+func (n *Node) receiveReply(from frame.Hello, r *frame.SubmitReply) {
 	n.callMu.Lock()
 	c := n.calls[r.Call]
 	n.callMu.Unlock()
 	if c == nil || c.peer != from.VM || c.inc != from.Inc {
-		n.deps.Meter.Waste(meterDuplicate, 1)
+		n.deps.Meter.AddWasted(meterDuplicate, 1)
 		return // its caller has been answered already
 	}
 	select {
--- a/internal/task/flow/incarnation_test.go
+++ b/internal/task/flow/incarnation_test.go
@@ -27,7 +27,7 @@
 	msgs []frame.Msg
 }
 
-func (m *sentMessages) Cast(_ netip.AddrPort, msg frame.Msg) error {
+func (m *sentMessages) Send(_ netip.AddrPort, msg frame.Msg) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.msgs = append(m.msgs, msg)
@@ -35,7 +35,7 @@
 }
 
 // Reach implements Mesh.
-func (m *sentMessages) Reach(context.Context, netip.AddrPort) (uint64, error) { return 0, ErrNoLink }
+func (m *sentMessages) Connect(context.Context, netip.AddrPort) (uint64, error) { return 0, ErrNoLink }
 
 // takeSent returns the messages of type M that were sent since the last call.
 func takeSent[M frame.Msg](m *sentMessages) (sent []M) {
@@ -59,7 +59,7 @@
 		defer cancel()
 		node := func(n byte, inc uint64) *Node {
 			at := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, n}), 1)
-			v, err := New(ctx, Config{Self: at, Domain: "a", Inc: inc, Secret: []byte{n}, Policy: place.Homes, Term: time.Minute, Tickets: 9}, Parts{
+			v, err := New(ctx, Config{Self: at, Domain: "a", Inc: inc, Secret: []byte{n}, Policy: place.Homes, TicketTerm: time.Minute, MaxTickets: 9}, Deps{
 				Timers: timer.New(timer.Wall{}), Mesh: &sentMessages{}, Meter: meter.New(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 			})
 			if err != nil {
@@ -69,7 +69,7 @@
 		}
 		former, newer, peer := node(1, 6), node(1, 7), node(2, 5)
 		for _, v := range []*Node{former, newer} {
-			v.Receive(helloOf(peer), &frame.Beat{At: time.Now()})
+			v.Receive(helloOf(peer), &frame.Heartbeat{At: time.Now()})
 			takeSent[frame.Msg](v.deps.Mesh.(*sentMessages))
 		}
 		test(is.New(t), former, newer, peer)
@@ -87,14 +87,14 @@
 		is.NoErr(err)
 		ask := func(n *Node, tenant string) (out chan *job.Answer, s *frame.Submit) {
 			out = make(chan *job.Answer, 1)
-			go func() { out <- n.Ask(n.ctx, tenant, ticket.Pick(text, 0)) }()
+			go func() { out <- n.LookupTicket(n.ctx, tenant, ticket.Pick(text, 0)) }()
 			synctest.Wait()
 			return out, takeSent[*frame.Submit](n.deps.Mesh.(*sentMessages))[0]
 		}
-		reply := func(by *Node, s *frame.Submit) *frame.Reply {
+		reply := func(by *Node, s *frame.Submit) *frame.SubmitReply {
 			peer.Receive(helloOf(by), s)
 			synctest.Wait()
-			return takeSent[*frame.Reply](peer.deps.Mesh.(*sentMessages))[0]
+			return takeSent[*frame.SubmitReply](peer.deps.Mesh.(*sentMessages))[0]
 		}
 		_, s := ask(former, "other")
 		stale := reply(former, s)
@@ -109,12 +109,12 @@
 // incarnation's group with the same number.
 func TestTookForFormerIncarnationIsIgnored(t *testing.T) {
 	withIncarnations(t, func(is *is.I, former, newer, peer *Node) {
-		peer.Receive(helloOf(former), &frame.Give{At: time.Now(), Group: 1, Tasks: []frame.Task{{Job: 2, Left: time.Second}}})
-		w := newWork(2, &job.Request{Left: time.Second, Tasks: []job.Task{{}}}, doc.Class{}, time.Now())
+		peer.Receive(helloOf(former), &frame.StartTasks{At: time.Now(), Group: 1, Tasks: []frame.Task{{Job: 2, Left: time.Second}}})
+		w := newWork(2, &job.Request{TimeLeft: time.Second, Tasks: []job.Task{{}}}, doc.Class{}, time.Now())
 		i, _ := w.pop()
 		w.markSent()
 		newer.groups[1] = &group{id: 1, peer: peer.cfg.Self, inc: peer.cfg.Inc, tasks: []givenTask{{w: w, i: i}}, pending: 1}
-		for _, m := range takeSent[*frame.Took](peer.deps.Mesh.(*sentMessages)) {
+		for _, m := range takeSent[*frame.TasksAccepted](peer.deps.Mesh.(*sentMessages)) {
 			newer.Receive(helloOf(peer), m)
 		}
 		is.Equal(w.evidence.Sent, 1)
--- a/internal/task/flow/node.go
+++ b/internal/task/flow/node.go
@@ -52,20 +52,20 @@
 // Node is the dispatcher of one entry VM.
 type Node struct {
 	cfg    Config
-	deps   Parts
+	deps   Deps
 	ctx    context.Context //nolint:containedctx // the lifetime of the node, not of a request
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
 	conf      atomic.Pointer[conf]
-	revisions atomic.Pointer[Docs]
+	revisions atomic.Pointer[RevisionStore]
 	table     *place.Table
-	health    *health.Book
-	learn     learn.Book
-	tickets   *ticket.Book
+	health    *health.Tracker
+	learn     learn.Estimator
+	tickets   *ticket.Store
 	view      *view.View
 	budget    *budget.Set
-	quota     *quota.Book
+	quota     *quota.Limiter
 	queues    [job.Bands]*queue.Queue[*work]
 
 	beats       atomic.Int64
@@ -96,7 +96,7 @@
 }
 
 // New returns a node that Start activates.
-func New(ctx context.Context, cfg Config, deps Parts) (*Node, error) {
+func New(ctx context.Context, cfg Config, deps Deps) (*Node, error) {
 	policy, err := place.ByName[*place.Endpoint](cfg.Policy)
 	if err != nil {
 		return nil, fmt.Errorf("new node: %w", err)
@@ -105,12 +105,12 @@
 	n := &Node{
 		cfg: cfg, deps: deps,
 		table:  place.NewTable(policy),
-		health: health.New(health.Wild),
+		health: health.New(health.NoisyGain),
 		view:   view.New(cfg.Self, cfg.Domain, now),
 		quota:  quota.New(),
-		budget: budget.NewSet(now, cfg.Retries, minRetryRate, retryBurst),
-		tickets: ticket.NewBook(cfg.Self, cfg.Inc, cfg.Secret, ticket.Limits{
-			Term: cfg.Term, Uses: cfg.Tickets, Bytes: cfg.Memory / 4,
+		budget: budget.NewSet(now, cfg.RetryRatio, minRetryRate, retryBurst),
+		tickets: ticket.NewStore(cfg.Self, cfg.Inc, cfg.Secret, ticket.Limits{
+			Term: cfg.TicketTerm, Uses: cfg.MaxTickets, Bytes: cfg.Memory / 4,
 		}),
 		groups: map[uint64]*group{},
 		calls:  map[uint64]*call{}, ticketRuns: map[uint64]*ticketRun{},
@@ -118,7 +118,7 @@
 	}
 	n.ctx, n.cancel = context.WithCancel(ctx)
 	for b := range n.queues {
-		n.queues[b] = queue.New[*work](now, queue.Order{Spread: 50, Stretch: cfg.Stretch, Lead: maxLead})
+		n.queues[b] = queue.New[*work](now, queue.Order{Spread: 50, Stretch: cfg.SizeWeight, Lead: maxLead})
 	}
 	return n, nil
 }
@@ -152,7 +152,7 @@
 }
 
 // UpdateRoster applies a new version of the platform's list.
-func (n *Node) Learn(l roster.List) {
+func (n *Node) UpdateRoster(l roster.List) {
 	now := n.now()
 	var vms []view.Named
 	for _, v := range l.VMs {
@@ -202,7 +202,7 @@
 		slots[in.Addr] = in.Slots
 		return true
 	})
-	n.health.Keep(slots)
+	n.health.SetEndpoints(slots)
 	n.applyHealth(now)
 }
 
@@ -232,9 +232,9 @@
 
 // applyHealth sets each endpoint's slot limit and slow flag, which change with time.
 func (n *Node) applyHealth(now time.Time) {
-	for _, e := range n.table.Mine() {
+	for _, e := range n.table.Own() {
 		e.SetLimit(n.health.Limit(now, e.Addr))
-		e.SetSlow(n.health.Slow(e.Addr))
+		e.SetSlowness(n.health.Slowness(e.Addr))
 	}
 }
 
@@ -253,7 +253,7 @@
 	n.leaving[a] = leaveNotice{at: n.now(), direct: direct}
 	n.listMu.Unlock()
 	if e := n.table.Find(a); e != nil {
-		e.Leave()
+		e.MarkLeaving()
 	}
 	if !known {
 		n.deps.Log.Info("endpoint leaves", "endpoint", a, "by", by)
@@ -265,12 +265,12 @@
 // is the first to meet one that leaves or can't be reached.
 func (n *Node) probeQuiet() {
 	now := n.now()
-	for _, e := range n.table.Mine() {
+	for _, e := range n.table.Own() {
 		if e.Busy() > 0 || e.Leaving() {
 			continue
 		}
-		if e.Quiet(now, probeAfter) {
-			e.Hear(now) // delays the next probe until this one has ended
+		if e.SilentFor(now, probeAfter) {
+			e.Answered(now) // delays the next probe until this one has ended
 			n.wg.Go(func() { n.probeEndpoint(e) })
 		}
 	}
@@ -279,13 +279,13 @@
 func (n *Node) probeEndpoint(e *place.Endpoint) {
 	ctx, cancel := context.WithTimeout(n.ctx, probeAfter)
 	defer cancel()
-	n.deps.Meter.Waste(meterProbe, 1)
-	leaving, err := n.deps.Runner.Ask(ctx, e.Addr)
+	n.deps.Meter.AddWasted(meterProbe, 1)
+	leaving, err := n.deps.Runner.Probe(ctx, e.Addr)
 	switch {
 	case n.ctx.Err() != nil:
 	case err != nil:
 		n.deps.Log.Info("endpoint unreachable", "endpoint", e.Addr, "err", err)
-		e.SetLimit(n.health.Note(n.now(), health.Report{Addr: e.Addr, End: health.Unreachable}))
+		e.SetLimit(n.health.Record(n.now(), health.Report{Addr: e.Addr, End: health.Unreachable}))
 	case leaving:
 		n.markLeaving(e.Addr, "probe", true)
 	default:
--- a/internal/task/flow/peertask.go
+++ b/internal/task/flow/peertask.go
@@ -23,22 +23,22 @@
 	inc     uint64
 	group   uint64
 	pending int
-	ended   []frame.Ended
+	ended   []frame.TaskResult
 }
 
 // receiveGive starts as many tasks as have free slots and returns the others.
-func (n *Node) receiveGive(from frame.Hello, g *frame.Give) {
+func (n *Node) receiveGive(from frame.Hello, g *frame.StartTasks) {
 	now := n.now()
 	started := 0
 	if m := n.view.Find(from.VM); m == nil || m.Inc != from.Inc || m.Age(now, g.At) < maxGiveAge {
 		started = n.startGiven(from, g, now)
 	}
 	if started < len(g.Tasks) { // no Took message means that all were started
-		n.reply(from.VM, &frame.Took{To: from.Inc, Group: g.Group, N: started, Room: n.room(n.now())})
+		n.reply(from.VM, &frame.TasksAccepted{To: from.Inc, Group: g.Group, Count: started, Room: n.room(n.now())})
 	}
 }
 
-func (n *Node) startGiven(from frame.Hello, g *frame.Give, now time.Time) (started int) {
+func (n *Node) startGiven(from frame.Hello, g *frame.StartTasks, now time.Time) (started int) {
 	c := n.conf.Load()
 	if c == nil || n.draining.Load() {
 		return 0
@@ -74,36 +74,36 @@
 
 func (t *peerTask) begin() bool { return true }
 
-func (t *peerTask) ran(body []byte, _ time.Duration) { t.report(frame.Ran, body, "") }
+func (t *peerTask) ran(body []byte, _ time.Duration) { t.report(frame.Succeeded, body, "") }
 
-func (t *peerTask) failed(detail string) { t.report(frame.RanBadly, nil, detail) }
+func (t *peerTask) failed(detail string) { t.report(frame.Failed, nil, detail) }
 
 func (t *peerTask) lost(detail string) { t.report(frame.Uncertain, nil, detail) }
 
 func (t *peerTask) notStarted(_ bool, _ job.Reason, _, detail string) {
-	t.report(frame.NotRun, nil, detail)
+	t.report(frame.NotStarted, nil, detail)
 }
 
 // report records how the task ended. All but success is sent at once, since it may end
 // the job.
-func (t *peerTask) report(f frame.Fate, body []byte, detail string) {
+func (t *peerTask) report(f frame.TaskOutcome, body []byte, detail string) {
 	b := t.batch
 	t.n.peerMu.Lock()
 	b.pending--
-	b.ended = append(b.ended, frame.Ended{Job: t.task.Job, Index: t.task.Index, Fate: f, Body: body, Detail: detail})
-	var send []frame.Ended
-	if b.pending == 0 || f != frame.Ran {
+	b.ended = append(b.ended, frame.TaskResult{Job: t.task.Job, Index: t.task.Index, Outcome: f, Body: body, Detail: detail})
+	var send []frame.TaskResult
+	if b.pending == 0 || f != frame.Succeeded {
 		send, b.ended = b.ended, nil
 	}
 	t.n.peerMu.Unlock()
 	if len(send) > 0 {
-		t.n.reply(b.to, &frame.Back{To: b.inc, Group: b.group, Ended: send, Room: t.n.room(t.n.now())})
+		t.n.reply(b.to, &frame.TaskResults{To: b.inc, Group: b.group, Results: send, Room: t.n.room(t.n.now())})
 	}
 }
 
 func (n *Node) reply(to netip.AddrPort, m frame.Msg) {
-	n.deps.Meter.Waste(meterForward, 1)
-	if err := n.deps.Mesh.Cast(to, m); err != nil {
+	n.deps.Meter.AddWasted(meterForward, 1)
+	if err := n.deps.Mesh.Send(to, m); err != nil {
 		n.deps.Log.Warn("cannot send reply to peer", "to", to, "msg", frame.Purpose(m), "err", err)
 	}
 }
--- a/internal/task/flow/pump.go
+++ b/internal/task/flow/pump.go
@@ -72,12 +72,12 @@
 // nextTask takes the first task of the queue and aborts jobs that can't finish in time.
 func (n *Node) nextTask(q *queue.Queue[*work], now time.Time) (e *queue.Entry[*work], i int, ok bool) {
 	for {
-		e, ok = q.Next(func(tenant string) bool { return n.quota.Open(now, tenant) })
+		e, ok = q.Next(func(tenant string) bool { return n.quota.MayStart(now, tenant) })
 		if !ok {
 			return nil, 0, false
 		}
 		w := e.Job
-		if now.Add(e.Cost/2).After(w.due) && n.cfg.Foresight {
+		if now.Add(e.Cost/2).After(w.due) && n.cfg.EarlyReject {
 			n.settle(w, w.abort(job.Deadline, minRetryAfter, "no slot came free in time"))
 			continue
 		}
@@ -109,7 +109,7 @@
 func (t *localTask) begin() bool { return t.w.markSent() }
 
 func (t *localTask) ran(body []byte, ran time.Duration) {
-	t.n.deps.Meter.Ran(t.w.req.Tenant, t.w.req.Class, t.n.now().Sub(t.w.acceptedAt)-ran, ran)
+	t.n.deps.Meter.ObserveTask(t.w.req.Tenant, t.w.req.Class, t.n.now().Sub(t.w.acceptedAt)-ran, ran)
 	t.n.quota.End(t.w.req.Tenant, false)
 	t.n.settle(t.w, t.w.addResult(t.i, body, ran))
 }
--- a/internal/task/flow/receive.go
+++ b/internal/task/flow/receive.go
@@ -14,21 +14,21 @@
 		return
 	}
 	switch m := m.(type) {
-	case *frame.Beat:
+	case *frame.Heartbeat:
 		n.receiveBeat(from, m)
-	case *frame.Give:
+	case *frame.StartTasks:
 		n.receiveGive(from, m)
-	case *frame.Took:
+	case *frame.TasksAccepted:
 		n.receiveTook(from, m)
-	case *frame.Back:
+	case *frame.TaskResults:
 		n.receiveBack(from, m)
 	case *frame.Submit:
 		n.receiveSubmit(from, m)
-	case *frame.Reply:
+	case *frame.SubmitReply:
 		n.receiveReply(from, m)
-	case *frame.Have:
+	case *frame.Document:
 		n.receiveHave(m)
-	case *frame.Want:
+	case *frame.DocumentRequest:
 		n.receiveWant(from)
 	}
 }
@@ -38,17 +38,17 @@
 func (n *Node) isStale(m frame.Msg) bool {
 	to := n.cfg.Inc
 	switch m := m.(type) {
-	case *frame.Took:
+	case *frame.TasksAccepted:
 		to = m.To
-	case *frame.Back:
+	case *frame.TaskResults:
 		to = m.To
-	case *frame.Reply:
+	case *frame.SubmitReply:
 		to = m.To
 	}
 	return to != n.cfg.Inc && to != 0 // 0: from a version without this field
 }
 
-func (n *Node) receiveBeat(from frame.Hello, b *frame.Beat) {
+func (n *Node) receiveBeat(from frame.Hello, b *frame.Heartbeat) {
 	now := n.now()
 	was := n.view.Find(from.VM)
 	if c, ok := n.view.Hear(now, from, b); ok {
@@ -62,9 +62,9 @@
 			n.markLeaving(a, from.VM.String(), false)
 		}
 	}
-	n.quota.Hear(from.VM, b.Use)
+	n.quota.SetPeer(from.VM, b.Use)
 	for _, a := range b.Out {
-		n.health.Hear(now, a)
+		n.health.ApplyVerdict(now, a)
 	}
 	n.requestNewer(from.VM, b)
 	if b.Room.Urgent > 0 && n.Waiting() > 0 {
@@ -76,7 +76,7 @@
 func (n *Node) memberChanged(c view.Change) {
 	n.deps.Log.Info("member state changed", "vm", c.VM, "state", c.State.String(), "inc", c.Inc)
 	if c.State == view.Gone || c.State == view.Left {
-		n.quota.Forget(c.VM)
+		n.quota.RemovePeer(c.VM)
 	}
 	if c.State == view.Gone {
 		n.dropIncarnation(c.VM, c.Inc)
--- a/internal/task/flow/spill.go
+++ b/internal/task/flow/spill.go
@@ -124,7 +124,7 @@
 // giveGroup sends one group to a peer; the caller holds spillMu.
 func (n *Node) giveGroup(m *view.Member, now time.Time, count int) bool {
 	g := &group{id: n.serial.Add(1), peer: m.VM, inc: m.Inc}
-	msg := &frame.Give{Group: g.id, At: now}
+	msg := &frame.StartTasks{Group: g.id, At: now}
 	for b := range n.queues {
 		room := m.Beat.Room.Free
 		if job.Band(b) == job.Urgent {
@@ -152,13 +152,13 @@
 	g.pending = len(g.tasks)
 	n.groups[g.id] = g
 	n.view.Load(m.VM, m.Beat.Room.Less(len(g.tasks)))
-	if err := n.deps.Mesh.Cast(m.VM, msg); err != nil {
+	if err := n.deps.Mesh.Send(m.VM, msg); err != nil {
 		n.view.Load(m.VM, frame.Room{})
 		n.deleteGroup(g)
 		n.requeueGroup(g, 0)
 		return true
 	}
-	n.deps.Meter.Waste(meterForward, 1)
+	n.deps.Meter.AddWasted(meterForward, 1)
 	return true
 }
 
@@ -185,13 +185,13 @@
 }
 
 // receiveTook requeues the tasks that the peer did not start.
-func (n *Node) receiveTook(from frame.Hello, t *frame.Took) {
+func (n *Node) receiveTook(from frame.Hello, t *frame.TasksAccepted) {
 	n.view.Load(from.VM, t.Room)
 	n.spillMu.Lock()
 	g := n.groups[t.Group]
 	if g != nil && g.peer == from.VM && !g.answered {
 		g.answered = true
-		n.requeueGroup(g, min(max(t.N, 0), len(g.tasks)))
+		n.requeueGroup(g, min(max(t.Count, 0), len(g.tasks)))
 		if g.pending == 0 {
 			n.deleteGroup(g)
 		}
@@ -201,22 +201,22 @@
 }
 
 // receiveBack records the tasks that ended on a peer.
-func (n *Node) receiveBack(from frame.Hello, b *frame.Back) {
+func (n *Node) receiveBack(from frame.Hello, b *frame.TaskResults) {
 	n.view.Load(from.VM, b.Room)
 	now := n.now()
-	for _, e := range b.Ended {
+	for _, e := range b.Results {
 		t := n.claimGiven(from, b.Group, e)
 		if t == nil {
-			n.deps.Meter.Waste(meterDuplicate, 1)
+			n.deps.Meter.AddWasted(meterDuplicate, 1)
 			continue
 		}
 		s := &localTask{n: n, w: t.w, i: t.i}
-		switch e.Fate {
-		case frame.Ran:
+		switch e.Outcome {
+		case frame.Succeeded:
 			s.ran(e.Body, now.Sub(t.sent))
-		case frame.RanBadly:
+		case frame.Failed:
 			s.failed(e.Detail)
-		case frame.NotRun:
+		case frame.NotStarted:
 			s.notStarted(true, n.takeRetry(now, from.Domain), from.Domain, e.Detail)
 		case frame.Uncertain:
 			s.lost(e.Detail)
@@ -227,7 +227,7 @@
 
 // claimGiven marks the given task that e reports on as done. It returns nil if there is
 // no such open task.
-func (n *Node) claimGiven(from frame.Hello, id uint64, e frame.Ended) *givenTask {
+func (n *Node) claimGiven(from frame.Hello, id uint64, e frame.TaskResult) *givenTask {
 	n.spillMu.Lock()
 	defer n.spillMu.Unlock()
 	g := n.groups[id]
--- a/internal/task/flow/submit.go
+++ b/internal/task/flow/submit.go
@@ -10,7 +10,7 @@
 )
 
 // Authenticate returns the tenant of a caller's key, or a refusal.
-func (n *Node) Ident(key string) (tenant string, refusal *job.Answer) {
+func (n *Node) Authenticate(key string) (tenant string, refusal *job.Answer) {
 	c := n.conf.Load()
 	if c == nil {
 		return "", noDocument()
@@ -37,7 +37,7 @@
 // Only the VM that issued the ticket knows that no copy runs. If a caller sends a
 // submission to two VMs and one of them has just started and knows no document, that
 // one must not answer "refused, nothing was run" while the other runs it.
-func Elsewhere(a *job.Answer) *job.Answer {
+func AsUnknown(a *job.Answer) *job.Answer {
 	if a.Outcome != job.Refused {
 		return a
 	}
@@ -98,7 +98,7 @@
 	c := n.conf.Load()
 	class := c.doc.Classes[req.Class]
 	if a := n.admit(c, class, req, now); a != nil {
-		n.deps.Meter.Answered(req.Tenant, req.Class, a, 0, 0)
+		n.deps.Meter.ObserveJob(req.Tenant, req.Class, a, 0, 0)
 		return a
 	}
 	size := req.Bytes()
@@ -124,10 +124,10 @@
 		Job: w, Tenant: req.Tenant, Weight: c.doc.Tenants[req.Tenant].Weight,
 		Cost: n.learn.Expect(w.key, req.Tasks[0].Run).Mean, Tasks: len(req.Tasks), Due: w.due,
 	}
-	w.expiry = n.deps.Timers.After(req.Left, func() {
+	w.expiry = n.deps.Timers.After(req.TimeLeft, func() {
 		n.settle(w, w.abort(job.Deadline, 0, "its time ran out"))
 	})
-	n.quota.Want(req.Tenant, len(req.Tasks))
+	n.quota.Arrive(req.Tenant, len(req.Tasks))
 	n.queues[class.Band].Push(now, &w.entry)
 	n.pump()
 	return w
@@ -141,7 +141,7 @@
 	}
 	w.expiry.Stop()
 	n.quota.Drop(w.req.Tenant, n.queues[w.class.Band].Drop(&w.entry))
-	n.deps.Meter.Answered(w.req.Tenant, w.req.Class, a, n.now().Sub(w.acceptedAt), w.longestRun)
+	n.deps.Meter.ObserveJob(w.req.Tenant, w.req.Class, a, n.now().Sub(w.acceptedAt), w.longestRun)
 	if a.Outcome == job.Unknown || a.Outcome == job.Failed {
 		n.deps.Log.Info("job not done", "tenant", w.req.Tenant, "class", w.req.Class, "outcome", a.Outcome.String(), "reason", string(a.Reason), "detail", a.Detail)
 	}
--- a/internal/task/flow/work.go
+++ b/internal/task/flow/work.go
@@ -35,7 +35,7 @@
 func newWork(id uint64, req *job.Request, class doc.Class, now time.Time) *work {
 	n := len(req.Tasks)
 	w := &work{
-		id: id, req: req, class: class, acceptedAt: now, due: now.Add(req.Left),
+		id: id, req: req, class: class, acceptedAt: now, due: now.Add(req.TimeLeft),
 		key:     learn.Key{Tenant: req.Tenant, Kind: req.Kind},
 		waiting: make([]int, n), results: make([][]byte, n), unanswered: n,
 		done: make(chan struct{}),
--- a/internal/task/health/book.go
+++ b/internal/task/health/book.go
@@ -51,23 +51,23 @@
 // The weights of a new sample in the average of an endpoint's log run time.
 const (
 	// NoisyGain is for run times of which one in twenty is ten times the expected one.
-	Wild = 0.1
+	NoisyGain = 0.1
 	// SteadyGain is for run times within a factor of two of the expected one: four runs
 	// detect a straggler instead of fifteen.
-	Tame = 0.3
+	SteadyGain = 0.3
 )
 
 // Report is one ended attempt.
 type Report struct {
-	Addr  netip.AddrPort
-	Kind  string // tenant and kind of the task
-	End   End
-	Ran   time.Duration
-	Usual time.Duration
+	Addr     netip.AddrPort
+	Kind     string // tenant and kind of the task
+	End      End
+	Ran      time.Duration
+	Expected time.Duration
 }
 
 // Tracker tracks the health of the endpoints that one VM sends to.
-type Book struct {
+type Tracker struct {
 	mu              sync.Mutex
 	endpoints       map[netip.AddrPort]*state
 	kinds           map[string]*kind
@@ -96,12 +96,12 @@
 const maxKinds = 4096
 
 // New returns an empty tracker; gain is NoisyGain or SteadyGain.
-func New(gain float64) *Book {
-	return &Book{gain: gain, endpoints: map[netip.AddrPort]*state{}, kinds: map[string]*kind{}}
+func New(gain float64) *Tracker {
+	return &Tracker{gain: gain, endpoints: map[netip.AddrPort]*state{}, kinds: map[string]*kind{}}
 }
 
 // SetEndpoints replaces the set of endpoints and their slots; known endpoints keep their health.
-func (t *Book) Keep(slots map[netip.AddrPort]int) {
+func (t *Tracker) SetEndpoints(slots map[netip.AddrPort]int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for a := range t.endpoints {
@@ -118,7 +118,7 @@
 }
 
 // Record applies a report and returns the slots that may now be used on the endpoint.
-func (t *Book) Note(now time.Time, r Report) int {
+func (t *Tracker) Record(now time.Time, r Report) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.endpoints[r.Addr]
@@ -144,7 +144,7 @@
 	return t.limit(now, s)
 }
 
-func (t *Book) recordOK(s *state, r Report) {
+func (t *Tracker) recordOK(s *state, r Report) {
 	t.recordKind(r.Kind, 0)
 	if s.ejected || s.unreachable {
 		s.ejected, s.unreachable, s.backoff = false, false, 0
@@ -155,11 +155,11 @@
 }
 
 // recordSpeed adds a run time to the endpoint's average.
-func (t *Book) recordSpeed(s *state, r Report) {
-	if r.Ran <= 0 || r.Usual <= 0 {
+func (t *Tracker) recordSpeed(s *state, r Report) {
+	if r.Ran <= 0 || r.Expected <= 0 {
 		return
 	}
-	x := math.Log(r.Ran.Seconds() / r.Usual.Seconds())
+	x := math.Log(r.Ran.Seconds() / r.Expected.Seconds())
 	s.samples++
 	s.logSlowness += max(t.gain, 1/float64(s.samples)) * (x - s.logSlowness)
 	t.meanLogSlowness += 0.01 * (x - t.meanLogSlowness)
@@ -168,7 +168,7 @@
 // recordFailure weights a failure by how rarely its kind fails in general, and ignores
 // it before the kind has succeeded once: one tenant whose requests all fail must not
 // eject endpoints.
-func (t *Book) recordFailure(now time.Time, s *state, r Report) {
+func (t *Tracker) recordFailure(now time.Time, s *state, r Report) {
 	if k := t.kinds[r.Kind]; k != nil && k.succeeded {
 		s.strikes += 1 - k.failureRate
 	}
@@ -176,7 +176,7 @@
 	t.maybeEject(now, s)
 }
 
-func (t *Book) maybeEject(now time.Time, s *state) {
+func (t *Tracker) maybeEject(now time.Time, s *state) {
 	if s.strikes < ejectStrikes || (!s.ejected && t.ejectedCount()+1 > t.maxEjected()) {
 		return
 	}
@@ -185,7 +185,7 @@
 	s.retryAt = now.Add(s.backoff)
 }
 
-func (t *Book) recordKind(name string, x float64) {
+func (t *Tracker) recordKind(name string, x float64) {
 	k := t.kinds[name]
 	if k == nil {
 		if len(t.kinds) >= maxKinds {
@@ -200,7 +200,7 @@
 
 // Reached records that an unreachable endpoint answered a probe. That says nothing
 // about how tasks end there, so an ejected endpoint stays ejected.
-func (t *Book) Reached(a netip.AddrPort) {
+func (t *Tracker) Reached(a netip.AddrPort) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.endpoints[a]; s != nil && s.unreachable {
@@ -212,7 +212,7 @@
 }
 
 // Limit returns the slots that may now be used on an endpoint.
-func (t *Book) Limit(now time.Time, a netip.AddrPort) int {
+func (t *Tracker) Limit(now time.Time, a netip.AddrPort) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.endpoints[a]
@@ -222,7 +222,7 @@
 	return t.limit(now, s)
 }
 
-func (t *Book) limit(now time.Time, s *state) int {
+func (t *Tracker) limit(now time.Time, s *state) int {
 	switch {
 	case s.ejected || s.unreachable:
 		if now.Before(s.retryAt) {
@@ -237,10 +237,10 @@
 }
 
 // minSamples returns how many samples a valid speed needs: twice the inverse of the gain.
-func (t *Book) minSamples() int { return int(2 / t.gain) }
+func (t *Tracker) minSamples() int { return int(2 / t.gain) }
 
 // Slowness returns the endpoint's run time in percent of the average.
-func (t *Book) Slow(a netip.AddrPort) int {
+func (t *Tracker) Slowness(a netip.AddrPort) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.endpoints[a]
@@ -251,7 +251,7 @@
 }
 
 // Ejected lists the ejected endpoints, for peers and operators.
-func (t *Book) Out() (list []netip.AddrPort) {
+func (t *Tracker) Ejected() (list []netip.AddrPort) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for a, s := range t.endpoints {
@@ -263,7 +263,7 @@
 }
 
 // ApplyVerdict applies a peer's verdict that an endpoint fails its tasks.
-func (t *Book) Hear(now time.Time, a netip.AddrPort) {
+func (t *Tracker) ApplyVerdict(now time.Time, a netip.AddrPort) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.endpoints[a]
@@ -274,7 +274,7 @@
 	t.maybeEject(now, s)
 }
 
-func (t *Book) ejectedCount() (n int) {
+func (t *Tracker) ejectedCount() (n int) {
 	for _, s := range t.endpoints {
 		if s.ejected {
 			n++
@@ -283,6 +283,6 @@
 	return n
 }
 
-func (t *Book) maxEjected() int {
+func (t *Tracker) maxEjected() int {
 	return max(1, int(math.Ceil(ejectFraction*float64(len(t.endpoints)))))
 }
--- a/internal/task/health/book_test.go
+++ b/internal/task/health/book_test.go
@@ -14,18 +14,18 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(n)}), 80)
 }
 
-func book(n int) *Book {
-	b := New(Wild)
+func book(n int) *Tracker {
+	b := New(NoisyGain)
 	slots := map[netip.AddrPort]int{}
 	for i := range n {
 		slots[addr(i)] = 8
 	}
-	b.Keep(slots)
+	b.SetEndpoints(slots)
 	return b
 }
 
-func note(b *Book, at time.Time, n int, kind string, e End) int {
-	return b.Note(at, Report{Addr: addr(n), Kind: kind, End: e, Ran: 200 * time.Millisecond, Usual: 200 * time.Millisecond})
+func note(b *Tracker, at time.Time, n int, kind string, e End) int {
+	return b.Record(at, Report{Addr: addr(n), Kind: kind, End: e, Ran: 200 * time.Millisecond, Expected: 200 * time.Millisecond})
 }
 
 // Guards against one endpoint that fails most jobs of a domain: it fails every task
@@ -59,7 +59,7 @@
 		note(b, now, i%6, "bad", Bad)
 		note(b, now, (i+1)%6, "good", OK)
 	}
-	is.Equal(len(b.Out()), 0)
+	is.Equal(len(b.Ejected()), 0)
 }
 
 func TestEjectionsAreCapped(t *testing.T) {
@@ -73,7 +73,7 @@
 			note(b, now, i, string(rune('a'+3*i+k)), Bad)
 		}
 	}
-	is.Equal(len(b.Out()), 2)
+	is.Equal(len(b.Ejected()), 2)
 }
 
 func TestStragglerGetsAnEighthOfItsSlots(t *testing.T) {
@@ -85,29 +85,29 @@
 			if i == 0 {
 				ran *= 10
 			}
-			b.Note(now, Report{Addr: addr(i), Kind: "q", End: OK, Ran: ran, Usual: 200 * time.Millisecond})
+			b.Record(now, Report{Addr: addr(i), Kind: "q", End: OK, Ran: ran, Expected: 200 * time.Millisecond})
 		}
 	}
 	is.Equal(b.Limit(now, addr(0)), 1)
 	is.Equal(b.Limit(now, addr(1)), 8)
-	is.True(b.Slow(addr(0)) > 300)
+	is.True(b.Slowness(addr(0)) > 300)
 }
 
 // Guards against jobs that are late for seconds when an endpoint with many good runs becomes
 // 6.5 times slower: if fifteen slow runs are needed to detect it, detection takes long.
 func TestStragglerIsDetectedWithinFourRuns(t *testing.T) {
 	is := is.New(t)
-	for gain, most := range map[float64]int{Tame: 4, Wild: 15} {
+	for gain, most := range map[float64]int{SteadyGain: 4, NoisyGain: 15} {
 		b := New(gain)
-		b.Keep(map[netip.AddrPort]int{addr(0): 8, addr(1): 8})
+		b.SetEndpoints(map[netip.AddrPort]int{addr(0): 8, addr(1): 8})
 		usual := 200 * time.Millisecond
 		for range 100 {
-			b.Note(now, Report{Addr: addr(0), Kind: "q", End: OK, Ran: usual, Usual: usual})
-			b.Note(now, Report{Addr: addr(1), Kind: "q", End: OK, Ran: usual, Usual: usual})
+			b.Record(now, Report{Addr: addr(0), Kind: "q", End: OK, Ran: usual, Expected: usual})
+			b.Record(now, Report{Addr: addr(1), Kind: "q", End: OK, Ran: usual, Expected: usual})
 		}
 		n := 0
 		for b.Limit(now, addr(0)) > 1 {
-			b.Note(now, Report{Addr: addr(0), Kind: "q", End: OK, Ran: 65 * usual / 10, Usual: usual})
+			b.Record(now, Report{Addr: addr(0), Kind: "q", End: OK, Ran: 65 * usual / 10, Expected: usual})
 			n++
 		}
 		is.True(n <= most)
--- a/internal/task/job/job.go
+++ b/internal/task/job/job.go
@@ -64,13 +64,13 @@
 
 // Request is a submission of tasks that are answered together or not at all.
 type Request struct {
-	Tenant string        `msgpack:"t"`
-	Class  string        `msgpack:"c"`
-	Kind   string        `msgpack:"k"` // groups tasks of similar run time
-	Ticket string        `msgpack:"i,omitempty"`
-	Left   time.Duration `msgpack:"l,omitempty"` // time left until the answer is useless
-	Grant  int           `msgpack:"g,omitempty"` // number of tickets to issue with the answer
-	Tasks  []Task        `msgpack:"x"`
+	Tenant   string        `msgpack:"t"`
+	Class    string        `msgpack:"c"`
+	Kind     string        `msgpack:"k"` // groups tasks of similar run time
+	Ticket   string        `msgpack:"i,omitempty"`
+	TimeLeft time.Duration `msgpack:"l,omitempty"` // time left until the answer is useless
+	Grant    int           `msgpack:"g,omitempty"` // number of tickets to issue with the answer
+	Tasks    []Task        `msgpack:"x"`
 }
 
 // Bytes returns the total size of the task bodies.
@@ -159,7 +159,7 @@
 }
 
 // UnknownAnswer returns an answer with outcome Unknown, for work that may have started.
-func Doubt(why Reason, format string, args ...any) *Answer {
+func UnknownAnswer(why Reason, format string, args ...any) *Answer {
 	return &Answer{Outcome: Unknown, Reason: why, Detail: fmt.Sprintf(format, args...)}
 }
 
--- a/internal/task/learn/book.go
+++ b/internal/task/learn/book.go
@@ -27,7 +27,7 @@
 type Key struct{ Tenant, Kind string }
 
 // Estimator holds the estimates for all kinds of tasks; lookups take no global lock.
-type Book struct {
+type Estimator struct {
 	entries  sync.Map // Key to *entry
 	count    atomic.Int64
 	overflow entry
@@ -46,7 +46,7 @@
 	High time.Duration // about one task in twenty runs longer
 }
 
-func (est *Book) entry(k Key, add bool) *entry {
+func (est *Estimator) entry(k Key, add bool) *entry {
 	if e, ok := est.entries.Load(k); ok {
 		return e.(*entry)
 	}
@@ -64,7 +64,7 @@
 }
 
 // Record adds the run time of one task of a kind.
-func (est *Book) Note(k Key, ran time.Duration) {
+func (est *Estimator) Record(k Key, ran time.Duration) {
 	e := est.entry(k, true)
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -89,7 +89,7 @@
 }
 
 // Expect returns the estimate for a kind; declared counts only until there are minSamples.
-func (est *Book) Expect(k Key, declared time.Duration) Estimate {
+func (est *Estimator) Expect(k Key, declared time.Duration) Estimate {
 	e := est.entry(k, false)
 	prior := defaultMean
 	if declared > 0 {
--- a/internal/task/learn/book_test.go
+++ b/internal/task/learn/book_test.go
@@ -15,11 +15,11 @@
 func TestSamplesOverrideDeclaration(t *testing.T) {
 	is := is.New(t)
 	for _, told := range []time.Duration{20 * time.Millisecond, 2 * time.Second} {
-		var b Book
+		var b Estimator
 		k := Key{"quokka", "proof"}
 		r := rand.New(rand.NewPCG(1, 2))
 		for range 400 {
-			b.Note(k, time.Duration((0.15+0.1*r.Float64())*float64(time.Second)))
+			b.Record(k, time.Duration((0.15+0.1*r.Float64())*float64(time.Second)))
 		}
 		e := b.Expect(k, told)
 		is.True(e.Mean > 180*time.Millisecond && e.Mean < 220*time.Millisecond)
@@ -29,9 +29,9 @@
 
 func TestInventedKindsShareOneEntry(t *testing.T) {
 	is := is.New(t)
-	var b Book
+	var b Estimator
 	for i := range maxKinds + 500 {
-		b.Note(Key{"prairie", fmt.Sprint("kind", i)}, time.Second)
+		b.Record(Key{"prairie", fmt.Sprint("kind", i)}, time.Second)
 	}
 	is.Equal(b.count.Load(), int64(maxKinds))
 }
--- a/internal/task/learn/waits.go
+++ b/internal/task/learn/waits.go
@@ -21,11 +21,11 @@
 // jobs with little time left are done while jobs with much time are refused. A VM that has just
 // started can tell them apart only by the time that a caller still waits. Simulated days that end
 // with such a loss score 0.004 to 0.008 higher with the estimate, and their worst windows 0.03.
-type Waits struct{ baseline map[string]time.Duration }
+type PriorWaits struct{ baseline map[string]time.Duration }
 
 // Observe returns the minimum time that a caller has waited elsewhere, and updates the queue's
 // baseline. full is the total wait for a new job of this kind, left the remaining wait of this one.
-func (w *Waits) Note(queue string, full, left time.Duration) time.Duration {
+func (w *PriorWaits) Observe(queue string, full, left time.Duration) time.Duration {
 	if w.baseline == nil || len(w.baseline) >= maxQueues {
 		w.baseline = map[string]time.Duration{}
 	}
--- a/internal/task/lease/lease.go
+++ b/internal/task/lease/lease.go
@@ -42,40 +42,40 @@
 // The stages.
 const (
 	Sent     Stage = iota // the start is unanswered
-	On                    // the endpoint confirmed it
+	Running               // the endpoint confirmed it
 	Stopping              // it must end: it was stopped, or its start got no answer
 	Over                  // it has certainly ended, or never began
 )
 
 // EndState says how a run ended.
-type How uint8
+type EndState uint8
 
 // The ends of a run.
 const (
-	Done   How = iota
-	Failed     // the task or the endpoint failed
-	Gone       // stopped, lease expired, or endpoint lost; it may run again
-	Never      // it did not begin
-	Died       // lost with its endpoint, which it may have crashed; it may run again
+	Done   EndState = iota
+	Failed          // the task or the endpoint failed
+	Gone            // stopped, lease expired, or endpoint lost; it may run again
+	Never           // it did not begin
+	Died            // lost with its endpoint, which it may have crashed; it may run again
 )
 
 var endStateNames = [...]string{"done", "failed", "gone", "never", "died"}
 
-func (h How) String() string { return endStateNames[h] }
+func (h EndState) String() string { return endStateNames[h] }
 
 // Run is one start of a task on an endpoint.
 type Run struct {
-	Task    batch.Task
-	Name    string
-	Num     int // increases with each start of the task
-	Need    job.Size
-	Stage   Stage
-	At      time.Time // when the start was sent
-	Percent int       // progress, as last listed
-	Judged  bool      // its speed is recorded in its endpoint's health
-	Seen    time.Time // when it was last listed or confirmed
-	Job     Job       // the job it belongs to
-	Step    int
+	Task          batch.Task
+	Name          string
+	Num           int // increases with each start of the task
+	Need          job.Size
+	Stage         Stage
+	SentAt        time.Time // when the start was sent
+	Percent       int       // progress, as last listed
+	SpeedRecorded bool      // its speed is recorded in its endpoint's health
+	LastSeen      time.Time // when it was last listed or confirmed
+	Job           Job       // the job it belongs to
+	Step          int
 
 	stoppedAt time.Time // when a stop was confirmed
 }
@@ -83,7 +83,7 @@
 // Job is the job that a run belongs to.
 type Job interface {
 	// EndBy returns the time by which the job's runs must have ended, as known now. It never moves back.
-	By() time.Time
+	EndBy() time.Time
 }
 
 // Listed is a running task in an endpoint's answer.
@@ -98,7 +98,7 @@
 	Serial int64
 	Name   string
 	Num    int
-	How    How
+	State  EndState
 }
 
 // Report is an endpoint's answer to a lease renewal.
@@ -109,7 +109,7 @@
 }
 
 // RunID identifies a run.
-type Name struct {
+type RunID struct {
 	Task string
 	Num  int
 }
@@ -117,26 +117,26 @@
 // Endpoint is a leased endpoint with the runs that its owner started there.
 type Endpoint struct {
 	Info
-	Fence  uint64 // sent with each order; the endpoint obeys the owner with the highest
-	Cursor int64  // serial of the last end that was applied
-	Used   job.Size
-	Runs   map[Name]*Run
-	Known  bool // an answer was applied and no orphans are left; nothing starts before
-	Taken  bool // before Synced, it listed runs or ends of a former owner
-	Silent bool // the last renewals were unanswered
-	Missed int  // unanswered renewals in a row
+	Fence     uint64 // sent with each order; the endpoint obeys the owner with the highest
+	Cursor    int64  // serial of the last end that was applied
+	Used      job.Size
+	Runs      map[RunID]*Run
+	Synced    bool // an answer was applied and no orphans are left; nothing starts before
+	TakenOver bool // before Synced, it listed runs or ends of a former owner
+	Silent    bool // the last renewals were unanswered
+	Missed    int  // unanswered renewals in a row
 
 	limits      Limits
 	clock       int64     // the endpoint's clock
 	clockAt     time.Time // when clock was read
 	leaseEnd    time.Time // end of the last requested lease, by the owner's clock
 	unackedEnds bool      // ends were listed that no renewal has acknowledged
-	orphans     map[Name]time.Time
+	orphans     map[RunID]time.Time
 }
 
 // New returns an endpoint that has not answered yet.
 func New(in Info, fence uint64, limits Limits) *Endpoint {
-	return &Endpoint{Info: in, Fence: fence, limits: limits, Runs: map[Name]*Run{}, orphans: map[Name]time.Time{}}
+	return &Endpoint{Info: in, Fence: fence, limits: limits, Runs: map[RunID]*Run{}, orphans: map[RunID]time.Time{}}
 }
 
 // Free returns the unused capacity.
@@ -145,17 +145,17 @@
 }
 
 // Open reports whether tasks may be started here.
-func (e *Endpoint) Open() bool { return e.Known && !e.Silent && !e.Drains }
+func (e *Endpoint) Open() bool { return e.Synced && !e.Silent && !e.Drains }
 
 // Idle reports whether the lease needs no renewal.
 func (e *Endpoint) Idle() bool {
-	return e.Known && !e.Silent && len(e.Runs) == 0 && len(e.orphans) == 0 && !e.unackedEnds
+	return e.Synced && !e.Silent && len(e.Runs) == 0 && len(e.orphans) == 0 && !e.unackedEnds
 }
 
 // Start adds a run and reserves its capacity until the run is over.
 func (e *Endpoint) Start(now time.Time, t batch.Task, num int, need job.Size) *Run {
-	r := &Run{Task: t, Name: t.String(), Num: num, Need: need, At: now, Seen: now, Step: t.Step}
-	e.Runs[Name{r.Name, num}] = r
+	r := &Run{Task: t, Name: t.String(), Num: num, Need: need, SentAt: now, LastSeen: now, Step: t.Step}
+	e.Runs[RunID{r.Name, num}] = r
 	e.Used.Cores += need.Cores
 	e.Used.Memory += need.Memory
 	e.Used.Accels += need.Accels
@@ -164,7 +164,7 @@
 
 // RenewUntil returns the end of the lease to request, in milliseconds of the endpoint's clock, or 0 for none.
 // The lease ends before the EndBy of any run here.
-func (e *Endpoint) Until(now time.Time) int64 {
+func (e *Endpoint) RenewUntil(now time.Time) int64 {
 	lease := e.maxLease(now)
 	if lease <= 0 {
 		return 0
@@ -179,7 +179,7 @@
 	lease := e.limits.Lease()
 	for _, r := range e.Runs {
 		if r.Job != nil {
-			lease = min(lease, leaseWithin(r.Job.By().Sub(now)))
+			lease = min(lease, leaseWithin(r.Job.EndBy().Sub(now)))
 		}
 	}
 	return lease
@@ -188,7 +188,7 @@
 // Leasable reports whether a run of job j may start here: no requested lease ends after the job's EndBy, and a new
 // lease would have at least half of the usual length, which it has not while a run here must end soon.
 func (e *Endpoint) Leasable(now time.Time, j Job) bool {
-	return !e.leaseEnd.After(j.By()) && 2*e.maxLease(now) >= e.limits.Lease()
+	return !e.leaseEnd.After(j.EndBy()) && 2*e.maxLease(now) >= e.limits.Lease()
 }
 
 // Started records that the endpoint confirmed a start. It returns false if the run is not in stage Sent.
@@ -196,7 +196,7 @@
 	if r.Stage != Sent {
 		return false
 	}
-	r.Stage, r.Seen = On, now
+	r.Stage, r.LastSeen = Running, now
 	return true
 }
 
@@ -217,7 +217,7 @@
 }
 
 // Stopped records the confirmation of a stop.
-func (e *Endpoint) Stopped(now time.Time, n Name) {
+func (e *Endpoint) Stopped(now time.Time, n RunID) {
 	if r := e.Runs[n]; r != nil {
 		r.stoppedAt = now
 	}
@@ -226,7 +226,7 @@
 
 func (e *Endpoint) end(r *Run) {
 	r.Stage = Over
-	delete(e.Runs, Name{r.Name, r.Num})
+	delete(e.Runs, RunID{r.Name, r.Num})
 	e.Used.Cores -= r.Need.Cores
 	e.Used.Memory -= r.Need.Memory
 	e.Used.Accels -= r.Need.Accels
@@ -237,43 +237,43 @@
 
 // Finished is a run that is over, with its end state.
 type Finished struct {
-	Run *Run
-	How How
+	Run   *Run
+	State EndState
 }
 
 // Orphan is a run on the endpoint that its owner did not start.
-type Orphan = Name
+type Orphan = RunID
 
 // orphanRetry is the interval at which the stop of an orphan is repeated, since a stop may be lost.
 const orphanRetry = 200 * time.Millisecond
 
 // ApplyReport applies the answer to a renewal that was sent at the given time. It returns
 // the runs that are over and the orphans to stop.
-func (e *Endpoint) Take(now, sent time.Time, r Report) (over []Finished, orphans []Orphan) {
+func (e *Endpoint) ApplyReport(now, sent time.Time, r Report) (over []Finished, orphans []Orphan) {
 	e.Silent, e.Missed = false, 0
 	e.clock, e.clockAt = r.Clock, now
 	e.unackedEnds = len(r.Ended) > 0
-	e.Taken = e.Taken || (!e.Known && len(r.Running)+len(r.Ended) > 0)
+	e.TakenOver = e.TakenOver || (!e.Synced && len(r.Running)+len(r.Ended) > 0)
 	for _, x := range r.Ended {
 		if x.Serial <= e.Cursor {
 			continue // already applied from a later answer
 		}
 		e.Cursor = x.Serial
-		n := Name{x.Name, x.Num}
+		n := RunID{x.Name, x.Num}
 		delete(e.orphans, n)
 		if run := e.Runs[n]; run != nil {
 			e.end(run)
-			over = append(over, Finished{run, x.How})
+			over = append(over, Finished{run, x.State})
 		}
 	}
-	listed := make(map[Name]bool, len(r.Running))
+	listed := make(map[RunID]bool, len(r.Running))
 	for _, x := range r.Running {
-		n := Name{x.Name, x.Num}
+		n := RunID{x.Name, x.Num}
 		listed[n] = true
 		if run := e.Runs[n]; run != nil {
-			run.Percent, run.Seen = x.Percent, now
+			run.Percent, run.LastSeen = x.Percent, now
 			if run.Stage == Sent {
-				run.Stage = On
+				run.Stage = Running
 			}
 			continue
 		}
@@ -289,7 +289,7 @@
 	}
 	// Renewing for new runs would also keep a former owner's runs alive, while their tasks
 	// are started again once that owner's lease must have expired. So nothing starts until they are gone.
-	e.Known = e.Known || len(e.orphans) == 0
+	e.Synced = e.Synced || len(e.orphans) == 0
 	for n, run := range e.Runs {
 		if !listed[n] && e.endedUnlisted(run, sent) {
 			e.end(run)
@@ -303,8 +303,8 @@
 // or its stop had been confirmed before the renewal was sent.
 func (e *Endpoint) endedUnlisted(r *Run, sent time.Time) bool {
 	switch r.Stage {
-	case On:
-		return r.Seen.Before(sent)
+	case Running:
+		return r.LastSeen.Before(sent)
 	case Stopping:
 		return !r.stoppedAt.IsZero() && r.stoppedAt.Before(sent)
 	default:
@@ -314,21 +314,21 @@
 
 // MarkSilent records that renewals got no answer: nothing new is started here, and the
 // lease is not renewed until the endpoint answers again.
-func (e *Endpoint) Quiet() { e.Silent = true }
+func (e *Endpoint) MarkSilent() { e.Silent = true }
 
 // ExpireLease ends and returns the runs of a silent endpoint once its lease has certainly expired.
-func (e *Endpoint) Lapsed(now time.Time) (over []Finished) {
+func (e *Endpoint) ExpireLease(now time.Time) (over []Finished) {
 	if !e.Silent || now.Before(e.leaseEnd) {
 		return nil
 	}
-	return e.Lost()
+	return e.EndLost()
 }
 
 // LeaseEnd returns the time by which all runs here have ended unless the lease is renewed.
-func (e *Endpoint) Lapse() time.Time { return e.leaseEnd }
+func (e *Endpoint) LeaseEnd() time.Time { return e.leaseEnd }
 
 // EndLost ends all runs after this incarnation of the endpoint was lost or its lease expired.
-func (e *Endpoint) Lost() (over []Finished) {
+func (e *Endpoint) EndLost() (over []Finished) {
 	for _, r := range e.Runs {
 		how := Died
 		if !r.stoppedAt.IsZero() { // it ended before the loss
@@ -341,7 +341,7 @@
 }
 
 // EndFenced ends all runs: the endpoint obeys a higher fence and listed none of them under it.
-func (e *Endpoint) Cleared() (over []Finished) {
+func (e *Endpoint) EndFenced() (over []Finished) {
 	for _, r := range e.Runs {
 		e.end(r)
 		over = append(over, Finished{r, Gone})
--- a/internal/task/lease/lease_test.go
+++ b/internal/task/lease/lease_test.go
@@ -19,7 +19,7 @@
 
 func endpoint() *Endpoint {
 	e := New(Info{ID: "e", Size: job.Size{Cores: 64}}, 7, limits)
-	e.Take(t0, t0, Report{Clock: 1000})
+	e.ApplyReport(t0, t0, Report{Clock: 1000})
 	return e
 }
 
@@ -32,13 +32,13 @@
 	is.Equal(e.Free().Cores, 54.0)
 	is.True(e.Started(t0, r))
 	e.Stop(r)
-	e.Stopped(t0.Add(time.Millisecond), Name{r.Name, 1})
+	e.Stopped(t0.Add(time.Millisecond), RunID{r.Name, 1})
 	is.Equal(e.Free().Cores, 54.0) // a confirmed stop has not ended the run yet
-	over, _ := e.Take(t0.Add(40*time.Millisecond), t0.Add(30*time.Millisecond), Report{Clock: 1040, Ended: []Ended{{Serial: 1, Name: r.Name, Num: 1, How: Gone}}})
+	over, _ := e.ApplyReport(t0.Add(40*time.Millisecond), t0.Add(30*time.Millisecond), Report{Clock: 1040, Ended: []Ended{{Serial: 1, Name: r.Name, Num: 1, State: Gone}}})
 	is.Equal(len(over), 1)
 	is.Equal(e.Free().Cores, 64.0)
 	is.Equal(e.Cursor, int64(1))
-	over, _ = e.Take(t0, t0, Report{Ended: []Ended{{Serial: 1, Name: r.Name, Num: 1, How: Done}}})
+	over, _ = e.ApplyReport(t0, t0, Report{Ended: []Ended{{Serial: 1, Name: r.Name, Num: 1, State: Done}}})
 	is.Equal(len(over), 0) // listed again: already applied
 }
 
@@ -50,17 +50,17 @@
 	e := endpoint()
 	r := e.Start(t0, task(0), 1, need)
 	at := t0.Add(100 * time.Millisecond)
-	over, _ := e.Take(at, at, Report{Clock: 1100})
+	over, _ := e.ApplyReport(at, at, Report{Clock: 1100})
 	is.Equal(len(over), 0) // it may still begin
 	e.Stop(r)
-	over, _ = e.Take(at, at, Report{Clock: 1100})
+	over, _ = e.ApplyReport(at, at, Report{Clock: 1100})
 	is.Equal(len(over), 0) // it still may
-	e.Stopped(at, Name{r.Name, 1})
-	over, _ = e.Take(at, at.Add(-time.Millisecond), Report{Clock: 1100})
+	e.Stopped(at, RunID{r.Name, 1})
+	over, _ = e.ApplyReport(at, at.Add(-time.Millisecond), Report{Clock: 1100})
 	is.Equal(len(over), 0) // renewal sent before the stop was confirmed
-	over, _ = e.Take(at, at.Add(time.Millisecond), Report{Clock: 1100})
+	over, _ = e.ApplyReport(at, at.Add(time.Millisecond), Report{Clock: 1100})
 	is.Equal(len(over), 1)
-	is.Equal(over[0].How, Gone)
+	is.Equal(over[0].State, Gone)
 }
 
 // Guards against a task that runs twice: an endpoint stops answering, and its tasks are
@@ -69,11 +69,11 @@
 	is := is.New(t)
 	e := endpoint()
 	r := e.Start(t0, task(0), 1, need)
-	e.Until(t0)
+	e.RenewUntil(t0)
 	e.Started(t0, r)
-	e.Quiet()
-	is.Equal(len(e.Lapsed(t0.Add(900*time.Millisecond))), 0)
-	is.Equal(len(e.Lapsed(t0.Add(960*time.Millisecond))), 1) // 0.9 s, a 2 % slow clock and expiryGrace
+	e.MarkSilent()
+	is.Equal(len(e.ExpireLease(t0.Add(900*time.Millisecond))), 0)
+	is.Equal(len(e.ExpireLease(t0.Add(960*time.Millisecond))), 1) // 0.9 s, a 2 % slow clock and expiryGrace
 }
 
 // Guards against a resubmitted job that runs beside its first submission: an owner dies, and
@@ -81,42 +81,42 @@
 func TestNewOwnerWaitsForOrphansToEnd(t *testing.T) {
 	is := is.New(t)
 	e := New(Info{ID: "e", Size: job.Size{Cores: 64}}, 7, limits)
-	_, orphans := e.Take(t0, t0, Report{Running: []Listed{{Name: "x.0.0.0", Num: 1}}})
+	_, orphans := e.ApplyReport(t0, t0, Report{Running: []Listed{{Name: "x.0.0.0", Num: 1}}})
 	is.Equal(orphans, []Orphan{{"x.0.0.0", 1}})
 	is.True(!e.Open())
-	_, orphans = e.Take(t0.Add(orphanRetry), t0, Report{Running: []Listed{{Name: "x.0.0.0", Num: 1}}})
+	_, orphans = e.ApplyReport(t0.Add(orphanRetry), t0, Report{Running: []Listed{{Name: "x.0.0.0", Num: 1}}})
 	is.Equal(len(orphans), 1) // the stop may have been lost
-	e.Take(t0.Add(time.Second), t0, Report{Ended: []Ended{{Serial: 3, Name: "x.0.0.0", Num: 1, How: Gone}}})
+	e.ApplyReport(t0.Add(time.Second), t0, Report{Ended: []Ended{{Serial: 3, Name: "x.0.0.0", Num: 1, State: Gone}}})
 	is.True(e.Open())
 }
 
 func TestLeaseAllowsForSlowClock(t *testing.T) {
 	is := is.New(t)
 	e := endpoint()
-	is.Equal(e.Until(t0), int64(1900))
-	is.Equal(e.Until(t0.Add(10*time.Second)), int64(1000+9800+900)) // the clock may be 2 % slow
+	is.Equal(e.RenewUntil(t0), int64(1900))
+	is.Equal(e.RenewUntil(t0.Add(10*time.Second)), int64(1000+9800+900)) // the clock may be 2 % slow
 }
 
 // world simulates an endpoint that may execute orders late, next to the owner's view of it.
 type world struct {
 	e       *Endpoint
 	now     time.Time
-	running map[Name]bool
+	running map[RunID]bool
 	past    map[string]int
 	ends    []Ended
 	serial  int64
-	late    []Name // starts still in transit
+	late    []RunID // starts still in transit
 	num     int
 	views   []*Run
 }
 
-func (w *world) begin(n Name) {
+func (w *world) begin(n RunID) {
 	if n.Num > w.past[n.Task] && !w.running[n] {
 		w.running[n] = true
 	}
 }
 
-func (w *world) end(n Name, how How) {
+func (w *world) end(n RunID, how EndState) {
 	if !w.running[n] {
 		return
 	}
@@ -138,10 +138,10 @@
 // owner considers over neither runs nor can still begin.
 func TestFinishedRunsNeverRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{e: endpoint(), now: t0, running: map[Name]bool{}, past: map[string]int{}}
+		w := &world{e: endpoint(), now: t0, running: map[RunID]bool{}, past: map[string]int{}}
 		check := func(over []Finished) {
 			for _, f := range over {
-				n := Name{f.Run.Name, f.Run.Num}
+				n := RunID{f.Run.Name, f.Run.Num}
 				mayBegin := false
 				for _, l := range w.late {
 					mayBegin = mayBegin || (l == n && n.Num > w.past[n.Task])
@@ -162,7 +162,7 @@
 				w.num++
 				r := w.e.Start(w.now, task(rapid.IntRange(0, 2).Draw(t, "task")), w.num, need)
 				w.views = append(w.views, r)
-				n := Name{r.Name, r.Num}
+				n := RunID{r.Name, r.Num}
 				switch rapid.IntRange(0, 2).Draw(t, "fate") {
 				case 0:
 					w.begin(n)
@@ -180,10 +180,10 @@
 				w.begin(w.late[0])
 				w.late = w.late[1:]
 			},
-			"end": func(*rapid.T) { r := pick(); w.end(Name{r.Name, r.Num}, Done) },
+			"end": func(*rapid.T) { r := pick(); w.end(RunID{r.Name, r.Num}, Done) },
 			"stop": func(t *rapid.T) {
 				r := pick()
-				n := Name{r.Name, r.Num}
+				n := RunID{r.Name, r.Num}
 				w.e.Stop(r)
 				if rapid.Bool().Draw(t, "heard") {
 					w.past[n.Task] = max(w.past[n.Task], n.Num)
@@ -192,7 +192,7 @@
 				}
 			},
 			"look": func(*rapid.T) {
-				over, _ := w.e.Take(w.now, w.now, w.report())
+				over, _ := w.e.ApplyReport(w.now, w.now, w.report())
 				w.ends = nil
 				check(over)
 			},
--- a/internal/task/lease/limits.go
+++ b/internal/task/lease/limits.go
@@ -21,7 +21,7 @@
 }
 
 // StopsPerResend is the minimum ratio of Resend to Stop.
-const StopPart = 5
+const StopsPerResend = 5
 
 const (
 	// leaseFraction is the fraction of Hold that is requested: a renewal takes a few
--- a/internal/task/lease/limits_test.go
+++ b/internal/task/lease/limits_test.go
@@ -16,7 +16,7 @@
 			return time.Duration(rapid.IntRange(least, most).Draw(t, name)) * time.Millisecond
 		}
 		resend := ms("resend", 400, 60_000)
-		stop := time.Duration(rapid.IntRange(1, int(resend/StopPart)).Draw(t, "stop"))
+		stop := time.Duration(rapid.IntRange(1, int(resend/StopsPerResend)).Draw(t, "stop"))
 		l := Limits{Hold: ms("hold", 100, 60_000), Stop: stop, Resend: resend, Notice: 100 * time.Millisecond}
 		slowest := time.Duration(float64(l.Lease())/(1-clockDrift)) + expiryGrace // longest duration of a lease
 		is.True(l.Lease() > 0)
@@ -30,14 +30,14 @@
 
 type until time.Time
 
-func (u *until) By() time.Time { return time.Time(*u) }
+func (u *until) EndBy() time.Time { return time.Time(*u) }
 
 // Guards against a renewal for one run that extends the lease beyond the EndBy of another.
 func TestLeaseEndsBeforeRunDeadlines(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limits{Hold: time.Second, Resend: 1300 * time.Millisecond}
 		e, now := New(Info{ID: "e"}, 7, l), t0
-		e.Take(now, now, Report{Clock: 1000})
+		e.ApplyReport(now, now, Report{Clock: 1000})
 		var bys []*until
 		for n := range 30 {
 			now = now.Add(time.Duration(rapid.IntRange(-700, 1000).Draw(t, "step")) * time.Millisecond) // a goroutine may pause after reading the clock
@@ -50,10 +50,10 @@
 			case i == 1 && len(bys) > 0 && time.Time(by).After(time.Time(*bys[len(bys)-1])):
 				*bys[len(bys)-1] = by
 			}
-			e.Until(now)
+			e.RenewUntil(now)
 			for _, b := range bys {
-				if e.Lapse().After(time.Time(*b)) {
-					t.Fatalf("the lease ends %s too late", e.Lapse().Sub(time.Time(*b)))
+				if e.LeaseEnd().After(time.Time(*b)) {
+					t.Fatalf("the lease ends %s too late", e.LeaseEnd().Sub(time.Time(*b)))
 				}
 			}
 		}
--- a/internal/task/owner/admit.go
+++ b/internal/task/owner/admit.go
@@ -25,15 +25,15 @@
 // It depends on the VM's link: at 400 orders a second, a job of sixteen tasks takes 40 ms to start.
 // With one constant for all VMs it would be accepted though it can't meet its objective, and its
 // orders would delay those behind it: jobs are late while endpoints have room.
-func (sc *Book) jobOverhead(e *entry) time.Duration {
-	if sc.cfg.Orders == nil {
+func (sc *Scheduler) jobOverhead(e *entry) time.Duration {
+	if sc.cfg.OrderDelay == nil {
 		return overhead
 	}
-	return max(overhead, answerOverhead+sc.cfg.Orders(e.Tasks()))
+	return max(overhead, answerOverhead+sc.cfg.OrderDelay(e.Tasks()))
 }
 
 // waitBudget returns how long a job's tasks may wait in total for the job to meet its objective.
-func (sc *Book) waitBudget(e *entry, now time.Time) time.Duration {
+func (sc *Scheduler) waitBudget(e *entry, now time.Time) time.Duration {
 	work := sc.chain(e.Job)
 	return time.Duration((e.Stretch-1)*workDiscount*float64(work)) + e.Slack - sc.jobOverhead(e) - e.Waited - now.Sub(e.arrived)
 }
@@ -42,7 +42,7 @@
 // answer to be of use. Most of the caller's time is left, so that it can try another VM if it is
 // refused in the end. Time waited before the job arrived here doesn't count: as long
 // as there is room, even a late answer is given.
-func (sc *Book) lateWaitBudget(e *entry, now time.Time) time.Duration {
+func (sc *Scheduler) lateWaitBudget(e *entry, now time.Time) time.Duration {
 	work := sc.chain(e.Job)
 	objective := time.Duration(e.Stretch*workDiscount*float64(work)) + e.Slack
 	useful := min(maxLateFactor*objective, time.Duration(maxWaitPart*float64(e.deadline.Sub(e.arrived))))
@@ -69,7 +69,7 @@
 const inflowWindow = 500 * time.Millisecond
 
 // recordArrival counts an arriving job, whether it is accepted or not.
-func (sc *Book) recordArrival(now time.Time, e *entry) {
+func (sc *Scheduler) recordArrival(now time.Time, e *entry) {
 	work := 0.0
 	for i := range e.Steps {
 		st := &e.Steps[i]
@@ -89,7 +89,7 @@
 }
 
 // pressure returns the part of the pool that arriving work of higher ranks will occupy.
-func (sc *Book) pressure(now time.Time, rank int) float64 {
+func (sc *Scheduler) pressure(now time.Time, rank int) float64 {
 	total, incoming := 0.0, 0.0
 	for _, s := range sc.order {
 		if !s.lost && !s.handingOver && s.Open() && !sc.isSlow(s) {
@@ -108,7 +108,7 @@
 // forecast predicts how long a new job's tasks wait in total, from what runs and what is queued
 // before it. It simulates the pool as places of the job's own need: each run occupies one until its
 // expected end, then the waiting tasks take the earliest.
-func (sc *Book) forecast(now time.Time, e *entry) (wait time.Duration) {
+func (sc *Scheduler) forecast(now time.Time, e *entry) (wait time.Duration) {
 	need := e.Steps[0].Need
 	places := sc.places(now, need, e)
 	if len(places) == 0 {
@@ -164,7 +164,7 @@
 const minShare = 0.25
 
 // places lists when each place for a task of this need becomes free, the earliest first.
-func (sc *Book) places(now time.Time, need job.Size, e *entry) (at []time.Duration) {
+func (sc *Scheduler) places(now time.Time, need job.Size, e *entry) (at []time.Duration) {
 	for _, s := range sc.order {
 		if s.lost || s.handingOver || !s.Open() || s.Pool != e.Pool || sc.maxRuns(now, s) == 0 || (!e.late && sc.isSlow(s)) {
 			continue
@@ -192,20 +192,20 @@
 }
 
 // remaining returns how much longer a run is expected to take.
-func (sc *Book) remaining(now time.Time, r *lease.Run) time.Duration {
+func (sc *Scheduler) remaining(now time.Time, r *lease.Run) time.Duration {
 	e := r.Job.(*entry)
 	if r.Stage == lease.Stopping || e.answered {
 		return sc.cfg.Limits.Stop
 	}
 	d := sc.expect(e.Job, &e.Steps[r.Step])
-	ran := now.Sub(r.At)
+	ran := now.Sub(r.SentAt)
 	return max(d-ran, d/5)
 }
 
 // overloaded reports whether more work arrives than the pool can do while jobs that can still meet
 // their objective wait. A job that will miss its objective is then refused as soon as this is known:
 // its late answer is worth little, and the places it would occupy would make other jobs late.
-func (sc *Book) overloaded(now time.Time) bool {
+func (sc *Scheduler) overloaded(now time.Time) bool {
 	return sc.pressure(now, rankCount) >= overloadPart && slices.ContainsFunc(sc.queue, func(e *entry) bool { return !e.late })
 }
 
--- a/internal/task/owner/cordon.go
+++ b/internal/task/owner/cordon.go
@@ -16,7 +16,7 @@
 // Jobs that wait here for room in the domain are refused at once, so that they run elsewhere.
 // If only new jobs were refused, they would wait until their callers left: many jobs of one owner
 // would end by their deadline.
-func (sc *Book) Cordon(now time.Time, domain string, on bool) {
+func (sc *Scheduler) Cordon(now time.Time, domain string, on bool) {
 	delete(sc.cordons, domain)
 	since := time.Time{}
 	if on {
@@ -40,13 +40,13 @@
 func (s *endpoint) Open() bool { return s.cordonedAt.IsZero() && s.Endpoint.Open() }
 
 // cordonAdmits reports whether cordons let a job start a task on an endpoint.
-func (sc *Book) cordonAdmits(now time.Time, s *endpoint, e *entry) bool {
+func (sc *Scheduler) cordonAdmits(now time.Time, s *endpoint, e *entry) bool {
 	return s.cordonedAt.IsZero() || (e.begun && now.Sub(s.cordonedAt) < cordonGrace)
 }
 
 // stranded reports whether a task of a job that has begun waits for resources that no endpoint here
 // can offer any more. Such a job is answered at once, so that its caller can still go elsewhere.
-func (sc *Book) stranded(now time.Time, e *entry) bool {
+func (sc *Scheduler) stranded(now time.Time, e *entry) bool {
 	for i := range e.steps {
 		st := &e.Steps[i]
 		if len(e.steps[i].waiting) == 0 {
@@ -62,7 +62,7 @@
 }
 
 // noEndpointDetail tells a caller why no endpoint here is suitable.
-func (sc *Book) noEndpointDetail() string {
+func (sc *Scheduler) noEndpointDetail() string {
 	if len(sc.cordons) > 0 {
 		return "no endpoint here that is open to new work has what a task needs: failure domains are cordoned"
 	}
--- a/internal/task/owner/crash.go
+++ b/internal/task/owner/crash.go
@@ -48,10 +48,10 @@
 //
 // Such a job is never answered as failed: an owner sees that an endpoint is silent, but not why. One
 // that is cut off or restarts on its own may be lost twice under an innocent task.
-func (sc *Book) recordLostRuns(now time.Time, s *endpoint, ended []lease.Finished) {
+func (sc *Scheduler) recordLostRuns(now time.Time, s *endpoint, ended []lease.Finished) {
 	var runs []*lease.Run
 	for _, f := range ended {
-		if f.How == lease.Died {
+		if f.State == lease.Died {
 			runs = append(runs, f.Run)
 		}
 	}
@@ -69,8 +69,8 @@
 }
 
 // resolvePending resolves the pending losses that are old enough.
-func (sc *Book) resolvePending(now time.Time) {
-	due := func(p pendingLoss) bool { return now.Sub(p.at) >= sc.cfg.Hearsay }
+func (sc *Scheduler) resolvePending(now time.Time) {
+	due := func(p pendingLoss) bool { return now.Sub(p.at) >= sc.cfg.VerdictDelay }
 	for _, p := range sc.pendingLosses {
 		if due(p) {
 			sc.resolveLoss(now, p)
@@ -80,7 +80,7 @@
 }
 
 // resolveLoss counts a pending loss against its task or attributes it to an outage.
-func (sc *Book) resolveLoss(now time.Time, p pendingLoss) {
+func (sc *Scheduler) resolveLoss(now time.Time, p pendingLoss) {
 	name := p.run.Name
 	if sc.pending[name]--; sc.pending[name] <= 0 {
 		delete(sc.pending, name)
@@ -134,7 +134,7 @@
 	begun    bool // the run of the pending loss had begun
 }
 
-func (sc *Book) findOutage(p pendingLoss) (o outage) {
+func (sc *Scheduler) findOutage(p pendingLoss) (o outage) {
 	o.lost, o.begun = sc.countLosses(p.at), begun(p.run)
 	for _, d := range sc.lostEndpoints {
 		if d.at.Sub(p.at).Abs() > outageWindow {
@@ -151,7 +151,7 @@
 }
 
 // begun reports whether an endpoint has confirmed or listed a run.
-func begun(r *lease.Run) bool { return r.Seen.After(r.At) }
+func begun(r *lease.Run) bool { return r.LastSeen.After(r.SentAt) }
 
 // exemptionLimit returns how many losses of a task may be attributed to the outage. A task that has
 // begun on two of its endpoints gets none: the second was still up when the first was lost. A job that
@@ -168,13 +168,13 @@
 }
 
 // giveUp ends a job with a task under which too many endpoints were lost.
-func (sc *Book) giveUp(now time.Time, e *entry, task string) {
+func (sc *Scheduler) giveUp(now time.Time, e *entry, task string) {
 	sc.finish(now, e, job.Answer{Outcome: e.outcome(), Reason: job.Silent, Detail: task + " was running when two endpoints were lost"})
 }
 
 // requeue puts a task that must start again back among the waiting ones. A suspected task goes last,
 // so that the other tasks of its job don't run beside it.
-func (sc *Book) requeue(now time.Time, e *entry, r *lease.Run) {
+func (sc *Scheduler) requeue(now time.Time, e *entry, r *lease.Run) {
 	st := &e.steps[r.Task.Step]
 	switch {
 	case sc.suspects[r.Name] >= maxTaskLosses:
@@ -187,18 +187,18 @@
 }
 
 // isSuspect reports whether a task may crash the endpoint that starts it.
-func (sc *Book) isSuspect(task string) bool { return sc.suspects[task]+sc.pending[task] > 0 }
+func (sc *Scheduler) isSuspect(task string) bool { return sc.suspects[task]+sc.pending[task] > 0 }
 
 // anySuspects reports whether any task is suspected.
-func (sc *Book) anySuspects() bool { return len(sc.suspects)+len(sc.pending) > 0 }
+func (sc *Scheduler) anySuspects() bool { return len(sc.suspects)+len(sc.pending) > 0 }
 
 // awaitsVerdict reports whether a task's job may be given up once its pending losses are resolved.
-func (sc *Book) awaitsVerdict(task string) bool {
+func (sc *Scheduler) awaitsVerdict(task string) bool {
 	return sc.pending[task] > 0 && sc.suspects[task]+sc.pending[task] >= maxTaskLosses
 }
 
 // expireSuspects drops suspicions of tasks whose jobs are not here and that were not suspected lately.
-func (sc *Book) expireSuspects(now time.Time) {
+func (sc *Scheduler) expireSuspects(now time.Time) {
 	for name, at := range sc.suspectedAt {
 		if sc.byID[jobID(name)] == nil && now.Sub(at) >= runNumsKept {
 			delete(sc.suspects, name)
@@ -216,7 +216,7 @@
 // crashingTask names a task of a job that is not started again because of the endpoints lost under it.
 // A task that was given up gets one more start, alone, if its caller submits it again: endpoints that
 // come and go may have been lost under it by chance.
-func (sc *Book) crashingTask(id string) (task string) {
+func (sc *Scheduler) crashingTask(id string) (task string) {
 	for name, lost := range sc.suspects {
 		if lost > maxTaskLosses && jobID(name) == id {
 			return name
@@ -228,7 +228,7 @@
 // mayShare reports whether suspicions let a task start on an endpoint. A suspected task has its
 // endpoint to itself while it runs, so that the next loss shows whether it is the cause and affects no
 // other task.
-func (sc *Book) mayShare(s *endpoint, task string) bool {
+func (sc *Scheduler) mayShare(s *endpoint, task string) bool {
 	if !sc.anySuspects() || len(s.Runs) == 0 {
 		return true
 	}
--- a/internal/task/owner/crash_test.go
+++ b/internal/task/owner/crash_test.go
@@ -19,13 +19,13 @@
 	sc := newScheduler(64, 64, 64)
 	sc.Submit(t0, key(1), newJob("bad", 0, tasks(1, 30, time.Second)))
 	sc.Submit(t0, key(2), newJob("good", 0, tasks(1, 30, time.Second)))
-	a := sc.Take()
+	a := sc.TakeActions()
 	is.Equal(len(a.Starts), 2)
 	is.Equal(a.Starts[0].At, a.Starts[1].At) // packed onto one endpoint
 	begin(sc, t0, a.Starts)
 	now := t0.Add(100 * time.Millisecond)
 	sc.Lose(now, a.Starts[0].At.ID, true, "it was restarted")
-	a = sc.Take()
+	a = sc.TakeActions()
 	is.Equal(len(a.Starts), 2)
 	is.True(a.Starts[0].At != a.Starts[1].At) // both are suspected, so they run apart
 	begin(sc, now, a.Starts)
@@ -36,13 +36,13 @@
 				sc.Lose(now, s.At.ID, true, "it was restarted")
 			}
 		}
-		a = sc.Take()
+		a = sc.TakeActions()
 		begin(sc, now, a.Starts)
 		is.Equal(len(a.Starts), maxTaskLosses-n)
 	}
-	is.Equal(len(a.Tells), 1)
-	is.Equal(a.Tells[0].Key, key(1))
-	is.Equal(a.Tells[0].Answer.Outcome, job.Unknown)
+	is.Equal(len(a.Replies), 1)
+	is.Equal(a.Replies[0].Key, key(1))
+	is.Equal(a.Replies[0].Answer.Outcome, job.Unknown)
 	is.Equal(sc.Jobs(), 1) // the other goes on
 }
 
@@ -55,11 +55,11 @@
 	sc.Submit(t0, key(1), newJob("j1", 0, tasks(1, 30, 2*time.Second)))
 	now := t0
 	for range maxTaskLosses {
-		s := sc.Take().Starts
+		s := sc.TakeActions().Starts
 		is.Equal(len(s), 1)
 		begin(sc, now, s)
-		sc.Quiet(now, s[0].At, errNoAnswer)
-		sc.Quiet(now, s[0].At, errNoAnswer)
+		sc.RenewalFailed(now, s[0].At, errNoAnswer)
+		sc.RenewalFailed(now, s[0].At, errNoAnswer)
 		now = now.Add(1500 * time.Millisecond)
 		for _, x := range sc.order {
 			if x.Endpoint != s[0].At && !x.Silent {
@@ -68,9 +68,9 @@
 		}
 		sc.Tick(now)
 	}
-	a := sc.Take()
-	is.Equal(len(a.Tells), 1)
-	is.Equal(a.Tells[0].Answer.Outcome, job.Unknown)
+	a := sc.TakeActions()
+	is.Equal(len(a.Replies), 1)
+	is.Equal(a.Replies[0].Answer.Outcome, job.Unknown)
 }
 
 // The endpoints of a rack are lost within a second, then those of a second rack. If each loss counts
@@ -82,14 +82,14 @@
 	for n := range 8 {
 		sc.Submit(now, key(uint64(n)), newJob(fmt.Sprintf("j%d", n), 0, tasks(1, 50, 10*time.Second)))
 	}
-	begin(sc, now, sc.Take().Starts)
+	begin(sc, now, sc.TakeActions().Starts)
 	for round := range 2 {
 		for i := range 3 {
 			sc.Lose(now.Add(time.Duration(100*i)*time.Millisecond), string(rune('a'+3*round+i)), true, "it was restarted")
 		}
 		now = now.Add(3 * time.Second)
 	}
-	is.Equal(len(sc.Take().Tells), 0)
+	is.Equal(len(sc.TakeActions().Replies), 0)
 }
 
 // For any sequence of jobs and losses: a task is given up only after two endpoints were lost under it
@@ -111,7 +111,7 @@
 				}
 				sc.Lose(now, s.ID, true, "it was restarted")
 			}
-			a := sc.Take()
+			a := sc.TakeActions()
 			for _, x := range a.Starts {
 				if sc.suspects[x.Run.Name] >= maxTaskLosses {
 					r.Fatalf("%s was given up but starts again", x.Run.Name)
@@ -121,7 +121,7 @@
 				}
 			}
 			begin(sc, now, a.Starts)
-			for _, x := range a.Tells {
+			for _, x := range a.Replies {
 				if x.Answer.Outcome == job.Failed {
 					r.Fatalf("job %d is answered as failed", x.Key.Call)
 				}
@@ -149,7 +149,7 @@
 	first.Submit(t0, key(1), newJob("bad", 0, tasks(1, 30, time.Second)))
 	now := t0
 	for range maxTaskLosses {
-		s := first.Take().Starts
+		s := first.TakeActions().Starts
 		begin(first, now, s)
 		first.Lose(now, s[0].At.ID, true, "it was restarted")
 	}
@@ -157,19 +157,19 @@
 	is.Equal(shared[len(shared)-1], Suspect{"bad.0.0.0", maxTaskLosses})
 	is.Equal(len(first.Suspects(now.Add(shareFor+1))), 0)
 	for _, s := range shared {
-		second.Heed(now, s)
+		second.AddSuspect(now, s)
 	}
 	second.Submit(now, key(2), newJob("good", 0, tasks(1, 30, time.Second)))
 	second.Submit(now, key(3), newJob("bad", 0, tasks(1, 30, time.Second)))
-	a := second.Take()
+	a := second.TakeActions()
 	is.Equal(len(a.Starts), 2)
 	is.True(a.Starts[0].At != a.Starts[1].At) // one more start, alone
 	third := newScheduler(64, 64)
-	third.Heed(now, Suspect{"bad.0.0.0", maxTaskLosses + 1})
+	third.AddSuspect(now, Suspect{"bad.0.0.0", maxTaskLosses + 1})
 	third.Submit(now, key(4), newJob("bad", 0, tasks(1, 30, time.Second)))
-	a = third.Take()
+	a = third.TakeActions()
 	is.Equal(len(a.Starts), 0)
-	is.Equal(a.Tells[0].Answer.Outcome, job.Unknown)
+	is.Equal(a.Replies[0].Answer.Outcome, job.Unknown)
 	third.expireSuspects(now.Add(runNumsKept - 1))
 	is.Equal(third.crashingTask("bad"), "bad.0.0.0")
 	third.expireSuspects(now.Add(runNumsKept))
--- a/internal/task/owner/dispatch.go
+++ b/internal/task/owner/dispatch.go
@@ -9,7 +9,7 @@
 )
 
 // maxRuns returns how many runs the endpoint's health allows at once.
-func (sc *Book) maxRuns(now time.Time, s *endpoint) int {
+func (sc *Scheduler) maxRuns(now time.Time, s *endpoint) int {
 	n := sc.health.Limit(now, s.Addr)
 	if n >= s.slots {
 		return 1 << 20 // healthy: only its room is a limit
@@ -19,7 +19,7 @@
 
 // dispatch starts waiting tasks in queue order while there is room. Smaller jobs may pass one that
 // doesn't fit, as it couldn't use that room now.
-func (sc *Book) dispatch(now time.Time) {
+func (sc *Scheduler) dispatch(now time.Time) {
 	minUnfit := 0.0 // smallest need in cores that found no room in this pass
 	for _, e := range slices.Clone(sc.queue) {
 		if !e.fresh(now) {
@@ -46,7 +46,7 @@
 func unconstrained(s *batch.Step) bool { return s.Label == "" && s.Spread == 0 && !s.Gang }
 
 // startStep starts the tasks of a step that fit; it returns false if one didn't.
-func (sc *Book) startStep(now time.Time, e *entry, i int) bool {
+func (sc *Scheduler) startStep(now time.Time, e *entry, i int) bool {
 	st := &e.steps[i]
 	if e.Steps[i].Gang && !sc.gangFits(now, e, i) {
 		return len(st.waiting) == 0
@@ -67,7 +67,7 @@
 	return true
 }
 
-func (sc *Book) start(now time.Time, e *entry, i, k int, s *endpoint) {
+func (sc *Scheduler) start(now time.Time, e *entry, i, k int, s *endpoint) {
 	st := &e.steps[i]
 	if st.runNums[k] == 0 {
 		st.runNums[k] = sc.runNums[e.ID]
@@ -83,13 +83,13 @@
 		sc.queue = slices.DeleteFunc(sc.queue, func(x *entry) bool { return x == e })
 		sc.enqueue(e)
 	}
-	sc.actions.Starts = append(sc.actions.Starts, Start{At: s.Endpoint, Run: r, Spec: e.Spec, Until: s.Until(now), Fence: s.Fence})
+	sc.actions.Starts = append(sc.actions.Starts, Start{At: s.Endpoint, Run: r, Spec: e.Spec, Until: s.RenewUntil(now), Fence: s.Fence})
 	sc.renew(s)
 }
 
 // pick returns the endpoint on which a task leaves the least room unused, to keep large gaps for large
 // tasks; nil if none has room.
-func (sc *Book) pick(now time.Time, e *entry, st *batch.Step, t batch.Task) (best *endpoint) {
+func (sc *Scheduler) pick(now time.Time, e *entry, st *batch.Step, t batch.Task) (best *endpoint) {
 	lowest, name := 0.0, ""
 	if sc.anySuspects() {
 		name = t.String()
@@ -104,9 +104,9 @@
 		}
 		c := s.Free().Cores - st.Need.Cores
 		if st.Near != "" && !slices.Contains(s.Labels, st.Near) {
-			c += s.Size.Cores * sc.cfg.Far // slower: better than waiting, worse than any near endpoint
+			c += s.Size.Cores * sc.cfg.RemoteFactor // slower: better than waiting, worse than any near endpoint
 		}
-		c *= float64(sc.health.Slow(s.Addr)) / 100
+		c *= float64(sc.health.Slowness(s.Addr)) / 100
 		if retry { // prefer the endpoint with the latest success
 			c = float64(now.Sub(s.lastSuccess))
 		}
@@ -128,7 +128,7 @@
 // Endpoints that fail everything are free most often, so that a failed task would be retried on the
 // next such endpoint until its attempts are used up: jobs fail within a second after several endpoints
 // broke.
-func (sc *Book) hasGoodEndpoint(e *entry, st *batch.Step) bool {
+func (sc *Scheduler) hasGoodEndpoint(e *entry, st *batch.Step) bool {
 	return slices.ContainsFunc(sc.order, func(s *endpoint) bool {
 		return !s.lastRunFailed() && !s.lost && !s.handingOver && s.Open() && st.Need.Fits(s.Size) && matches(s, st, e.Pool)
 	})
@@ -140,13 +140,13 @@
 const successWait = 200 * time.Millisecond
 
 // awaitsSuccess reports whether a task's last attempt should not be made on an endpoint yet.
-func (sc *Book) awaitsSuccess(now time.Time, e *entry, s *endpoint, t batch.Task) bool {
+func (sc *Scheduler) awaitsSuccess(now time.Time, e *entry, s *endpoint, t batch.Task) bool {
 	st := &e.steps[t.Step]
 	since := st.firstFailed[t.Index]
 	return st.failures[t.Index] >= e.Attempts-1 && !s.lastSuccess.After(since) && now.Sub(since) < successWait
 }
 
-func (sc *Book) usable(now time.Time, s *endpoint, e *entry, st *batch.Step) bool {
+func (sc *Scheduler) usable(now time.Time, s *endpoint, e *entry, st *batch.Step) bool {
 	switch {
 	case s.lost, !s.Endpoint.Open(), !s.Leasable(now, e), now.Before(s.fullUntil), s.handingOver && !e.begun, !sc.cordonAdmits(now, s, e):
 		return false
@@ -171,7 +171,7 @@
 
 // gangFits reports whether all tasks of a step can start now; if only some could, they would occupy
 // room while waiting for the others.
-func (sc *Book) gangFits(now time.Time, e *entry, i int) bool {
+func (sc *Scheduler) gangFits(now time.Time, e *entry, i int) bool {
 	st := &e.Steps[i]
 	if len(e.steps[i].waiting) < st.Count {
 		return false // earlier runs must end first
--- a/internal/task/owner/endpoints.go
+++ b/internal/task/owner/endpoints.go
@@ -10,7 +10,7 @@
 )
 
 // Own takes ownership of an endpoint, with a fence above all known ones.
-func (sc *Book) Own(in lease.Info, fence uint64) {
+func (sc *Scheduler) Own(in lease.Info, fence uint64) {
 	if s := sc.endpoints[in.ID]; s != nil {
 		if !s.lost {
 			s.Drains, s.Cold = s.Drains || in.Drains, in.Cold
@@ -33,16 +33,16 @@
 
 // updateSlots counts the slots of all endpoints again and passes them to the health checks, which
 // reduce them after failures.
-func (sc *Book) updateSlots() {
+func (sc *Scheduler) updateSlots() {
 	slots := make(map[netip.AddrPort]int, len(sc.order))
 	for _, s := range sc.order {
 		s.slots = sc.needs.slots(s.Size)
 		slots[s.Addr] = s.slots
 	}
-	sc.health.Keep(slots)
+	sc.health.SetEndpoints(slots)
 }
 
-func (sc *Book) remove(id string) {
+func (sc *Scheduler) remove(id string) {
 	s := sc.endpoints[id]
 	delete(sc.endpoints, id)
 	sc.order = slices.DeleteFunc(sc.order, func(x *endpoint) bool { return x == s })
@@ -50,14 +50,14 @@
 }
 
 // Owned reports whether this VM may send orders to an endpoint.
-func (sc *Book) Owned(id string) bool {
+func (sc *Scheduler) Owned(id string) bool {
 	s := sc.endpoints[id]
 	return s != nil && !s.lost
 }
 
 // Update applies newer information of an endpoint about itself. Its size may change while it has runs:
 // they still count, so that a shrunk endpoint starts nothing until enough of them have ended.
-func (sc *Book) Update(now time.Time, in lease.Info) {
+func (sc *Scheduler) Update(now time.Time, in lease.Info) {
 	s := sc.endpoints[in.ID]
 	if s == nil {
 		return
@@ -77,14 +77,14 @@
 }
 
 // HandOver starts handing an endpoint over to another VM: jobs that have begun may still use it.
-func (sc *Book) Give(id string) {
+func (sc *Scheduler) HandOver(id string) {
 	if s := sc.endpoints[id]; s != nil {
 		s.handingOver = true
 	}
 }
 
 // Release gives up ownership of endpoints that are handed over and idle, and returns their IDs.
-func (sc *Book) Release() (ids []string) {
+func (sc *Scheduler) Release() (ids []string) {
 	for _, s := range slices.Clone(sc.order) {
 		if s.handingOver && !s.lost && s.Idle() {
 			sc.remove(s.ID)
@@ -96,17 +96,17 @@
 
 // Lose records that another VM owns an endpoint, or that it is gone. A dead one runs nothing; runs on
 // one that another VM owns end with their lease at the latest.
-func (sc *Book) Lose(now time.Time, id string, dead bool, why string) {
+func (sc *Scheduler) Lose(now time.Time, id string, dead bool, why string) {
 	s := sc.endpoints[id]
 	if s == nil || s.lost {
 		return
 	}
 	sc.cfg.Log.Info("endpoint lost", "endpoint", id, "why", why, "runs", len(s.Runs), "fence", s.Fence)
 	s.lost = true
-	s.Quiet()
+	s.MarkSilent()
 	if dead {
 		sc.noteLoss(now, id)
-		ended := s.Lost()
+		ended := s.EndLost()
 		sc.recordLostRuns(now, s, ended)
 		sc.runsEnded(now, s, ended, why)
 	}
@@ -117,7 +117,7 @@
 }
 
 // Find returns an owned endpoint, or nil.
-func (sc *Book) Find(id string) *lease.Endpoint {
+func (sc *Scheduler) Find(id string) *lease.Endpoint {
 	if s := sc.endpoints[id]; s != nil && !s.lost {
 		return s.Endpoint
 	}
@@ -126,14 +126,14 @@
 
 // endedBy returns the latest time at which a run that is over by now can have ended: that of its lease, if past.
 func (s *endpoint) endedBy(now time.Time) time.Time {
-	if lapse := s.Lapse(); !lapse.IsZero() && lapse.Before(now) {
+	if lapse := s.LeaseEnd(); !lapse.IsZero() && lapse.Before(now) {
 		return lapse
 	}
 	return now
 }
 
-func (sc *Book) renew(s *endpoint) {
-	sc.actions.Wakes = append(sc.actions.Wakes, Renewal{s.Endpoint})
+func (sc *Scheduler) renew(s *endpoint) {
+	sc.actions.Renewals = append(sc.actions.Renewals, Renewal{s.Endpoint})
 }
 
 // Load is what other VMs need to know to send jobs here.
@@ -145,7 +145,7 @@
 }
 
 // Load summarizes the state for the other VMs.
-func (sc *Book) Load(now time.Time) (l Load) {
+func (sc *Scheduler) Load(now time.Time) (l Load) {
 	for _, s := range sc.order {
 		if !s.Open() || s.lost || s.handingOver || sc.maxRuns(now, s) == 0 || sc.isSlow(s) {
 			continue
@@ -167,7 +167,7 @@
 }
 
 // Waiting returns how many jobs of a queue have no task started.
-func (sc *Book) Waiting(queue string) (n int) {
+func (sc *Scheduler) Waiting(queue string) (n int) {
 	for _, e := range sc.queue {
 		if e.Queue == queue && !e.begun && len(e.runs) == 0 {
 			n++
--- a/internal/task/owner/events.go
+++ b/internal/task/owner/events.go
@@ -15,13 +15,13 @@
 // StartResult processes a start's last error, after a number of sends without an answer. After one of
 // those, a refusal only says that the run isn't there now: the order may still arrive, or the run may
 // have ended.
-func (sc *Book) Ordered(now time.Time, s Start, silent int, err error) {
+func (sc *Scheduler) StartResult(now time.Time, s Start, silent int, err error) {
 	var refused *agent.RefusedError
 	switch {
 	case err == nil:
 		sc.Started(now, s.At, s.Run)
 	case silent > 0 || agent.Unanswered(err):
-		sc.Unsure(now, s.At, s.Run, err)
+		sc.Unanswered(now, s.At, s.Run, err)
 	case errors.As(err, &refused):
 		sc.Refused(now, s.At, s.Run, refused.Why)
 	default:
@@ -30,17 +30,17 @@
 }
 
 // Started records that an endpoint began a run, or had it already.
-func (sc *Book) Started(now time.Time, ep *lease.Endpoint, r *lease.Run) {
+func (sc *Scheduler) Started(now time.Time, ep *lease.Endpoint, r *lease.Run) {
 	e := r.Job.(*entry)
 	e.begun = true
 	ep.Started(now, r)
-	if e.answered && r.Stage == lease.On {
+	if e.answered && r.Stage == lease.Running {
 		sc.stop(ep, r)
 	}
 }
 
 // Refused records that an endpoint refused to begin a run.
-func (sc *Book) Refused(now time.Time, ep *lease.Endpoint, r *lease.Run, why agent.Refusal) {
+func (sc *Scheduler) Refused(now time.Time, ep *lease.Endpoint, r *lease.Run, why agent.Refusal) {
 	s := sc.endpoints[ep.ID]
 	e := r.Job.(*entry)
 	sc.cfg.Log.Info("start refused", "job", e.ID, "task", r.Name, "run", r.Num, "endpoint", ep.ID, "reason", why.String(), "fence", ep.Fence)
@@ -48,20 +48,20 @@
 		return
 	}
 	switch why {
-	case agent.NoRoom, agent.Late:
+	case agent.NoRoom, agent.LeaseExpired:
 		s.fullUntil = now.Add(fullPause)
-	case agent.Old:
+	case agent.Superseded:
 		st := &e.steps[r.Task.Step]
 		st.runNums[r.Task.Index] += runNumSkip
-	case agent.Ill:
+	case agent.Unhealthy:
 		sc.reportHealth(now, health.Report{Addr: ep.Addr, End: health.Unreachable}, ep.ID)
-	case agent.Fenced, agent.Dead, agent.Invalid:
+	case agent.Fenced, agent.WrongInstance, agent.Invalid:
 	}
-	sc.runEnded(now, s, lease.Finished{Run: r, How: lease.Never}, why.String())
+	sc.runEnded(now, s, lease.Finished{Run: r, State: lease.Never}, why.String())
 	switch why {
 	case agent.Fenced:
 		sc.Lose(now, ep.ID, false, "another VM owns it")
-	case agent.Dead:
+	case agent.WrongInstance:
 		sc.Lose(now, ep.ID, true, "it was restarted")
 	case agent.Invalid:
 		sc.finish(now, e, job.Answer{Outcome: e.outcome(), Reason: job.BadRequest, Detail: "the endpoint can't read the task"})
@@ -80,29 +80,29 @@
 )
 
 // Unanswered records that a start got no answer: it may run now, or begin later.
-func (sc *Book) Unsure(now time.Time, ep *lease.Endpoint, r *lease.Run, err error) {
+func (sc *Scheduler) Unanswered(now time.Time, ep *lease.Endpoint, r *lease.Run, err error) {
 	e := r.Job.(*entry)
 	if r.Stage != lease.Sent {
 		return
 	}
-	sc.cfg.Log.Info("start got no answer", "job", e.ID, "task", r.Name, "run", r.Num, "endpoint", ep.ID, "after", now.Sub(r.At), "err", err)
+	sc.cfg.Log.Info("start got no answer", "job", e.ID, "task", r.Name, "run", r.Num, "endpoint", ep.ID, "after", now.Sub(r.SentAt), "err", err)
 	sc.reportHealth(now, health.Report{Addr: ep.Addr, End: health.Silent}, ep.ID)
 	sc.stop(ep, r)
 }
 
 // Unsent records that a start never left this VM.
-func (sc *Book) Unsent(now time.Time, ep *lease.Endpoint, r *lease.Run, err error) {
+func (sc *Scheduler) Unsent(now time.Time, ep *lease.Endpoint, r *lease.Run, err error) {
 	e := r.Job.(*entry)
 	sc.cfg.Log.Info("endpoint unreachable", "job", e.ID, "task", r.Name, "endpoint", ep.ID, "err", err)
 	sc.reportHealth(now, health.Report{Addr: ep.Addr, End: health.Unreachable}, ep.ID)
 	if s := sc.endpoints[ep.ID]; s != nil && ep.Reject(r) {
-		sc.runEnded(now, s, lease.Finished{Run: r, How: lease.Never}, "unreachable")
+		sc.runEnded(now, s, lease.Finished{Run: r, State: lease.Never}, "unreachable")
 		sc.dispatch(now)
 	}
 }
 
 // Stopped records that an endpoint confirmed a stop.
-func (sc *Book) Stopped(now time.Time, ep *lease.Endpoint, n lease.Name) {
+func (sc *Scheduler) Stopped(now time.Time, ep *lease.Endpoint, n lease.RunID) {
 	ep.Stopped(now, n)
 	if s := sc.endpoints[ep.ID]; s != nil {
 		sc.renew(s)
@@ -110,14 +110,14 @@
 }
 
 // Renewed processes an endpoint's answer to the renewal sent at the given time.
-func (sc *Book) Renewed(now, sent time.Time, ep *lease.Endpoint, r lease.Report) {
+func (sc *Scheduler) Renewed(now, sent time.Time, ep *lease.Endpoint, r lease.Report) {
 	s := sc.endpoints[ep.ID]
 	if s == nil || s.Endpoint != ep || s.lost {
 		return
 	}
-	wasSilent, known := ep.Silent, ep.Known
-	ended, orphans := ep.Take(now, sent, r)
-	if !known && ep.Known && ep.Taken {
+	wasSilent, known := ep.Silent, ep.Synced
+	ended, orphans := ep.ApplyReport(now, sent, r)
+	if !known && ep.Synced && ep.TakenOver {
 		sc.noteCleared(now, s)
 	}
 	if wasSilent {
@@ -141,7 +141,7 @@
 const silentAfter = 2
 
 // RenewalFailed records that a renewal got no answer.
-func (sc *Book) Quiet(now time.Time, ep *lease.Endpoint, err error) {
+func (sc *Scheduler) RenewalFailed(now time.Time, ep *lease.Endpoint, err error) {
 	if s := sc.endpoints[ep.ID]; s == nil || s.lost {
 		return
 	}
@@ -149,24 +149,24 @@
 		return
 	}
 	if !ep.Silent {
-		sc.cfg.Log.Info("endpoint silent", "endpoint", ep.ID, "runs", len(ep.Runs), "err", err, "lease_left", ep.Lapse().Sub(now))
+		sc.cfg.Log.Info("endpoint silent", "endpoint", ep.ID, "runs", len(ep.Runs), "err", err, "lease_left", ep.LeaseEnd().Sub(now))
 		sc.reportHealth(now, health.Report{Addr: ep.Addr, End: health.Unreachable}, ep.ID)
 	}
-	ep.Quiet()
+	ep.MarkSilent()
 	sc.noteLoss(now, ep.ID)
 }
 
 // runEnded applies the end of a run to its job.
-func (sc *Book) runEnded(now time.Time, s *endpoint, f lease.Finished, why string) {
+func (sc *Scheduler) runEnded(now time.Time, s *endpoint, f lease.Finished, why string) {
 	r := f.Run
 	e := r.Job.(*entry)
 	delete(e.runs, r)
 	e.lastEnd = timer.Later(e.lastEnd, s.endedBy(now))
-	if f.How != lease.Never {
+	if f.State != lease.Never {
 		e.begun = true
 	}
 	sc.recordEnd(now, s, e, f)
-	if ran := now.Sub(r.At); ran > e.slowest {
+	if ran := now.Sub(r.SentAt); ran > e.slowest {
 		e.slowest, e.slowestAt = ran, s.ID
 	}
 	st := &e.steps[r.Task.Step]
@@ -174,8 +174,8 @@
 		sc.forget(now, e)
 		return
 	}
-	sc.cfg.Log.Debug("run ended", "task", r.Name, "run", r.Num, "how", f.How.String(), "endpoint", s.ID, "why", why)
-	switch f.How {
+	sc.cfg.Log.Debug("run ended", "task", r.Name, "run", r.Num, "how", f.State.String(), "endpoint", s.ID, "why", why)
+	switch f.State {
 	case lease.Done:
 		st.done++
 		if st.done == e.Steps[r.Task.Step].Count {
@@ -204,28 +204,28 @@
 }
 
 // runsEnded applies the end of a lost endpoint's runs to their jobs.
-func (sc *Book) runsEnded(now time.Time, s *endpoint, ended []lease.Finished, why string) {
+func (sc *Scheduler) runsEnded(now time.Time, s *endpoint, ended []lease.Finished, why string) {
 	for _, f := range ended {
 		sc.runEnded(now, s, f, why)
 	}
 }
 
 // recordEnd updates the endpoint's health and the kind's run times with the end of a run.
-func (sc *Book) recordEnd(now time.Time, s *endpoint, e *entry, f lease.Finished) {
+func (sc *Scheduler) recordEnd(now time.Time, s *endpoint, e *entry, f lease.Finished) {
 	rep := health.Report{Addr: s.Addr, Kind: e.Pool + "/" + e.Queue}
-	switch f.How {
+	switch f.State {
 	case lease.Done:
-		s.lastSuccess = timer.Later(s.lastSuccess, f.Run.At)
-		ran := now.Sub(f.Run.At)
+		s.lastSuccess = timer.Later(s.lastSuccess, f.Run.SentAt)
+		ran := now.Sub(f.Run.SentAt)
 		rep.End = health.OK
-		if !f.Run.Judged {
-			rep.Ran, rep.Usual = ran, sc.expect(e.Job, &e.Steps[f.Run.Step])
+		if !f.Run.SpeedRecorded {
+			rep.Ran, rep.Expected = ran, sc.expect(e.Job, &e.Steps[f.Run.Step])
 		}
-		sc.learn.Note(learn.Key{Tenant: e.Pool, Kind: e.Queue}, ran)
+		sc.learn.Record(learn.Key{Tenant: e.Pool, Kind: e.Queue}, ran)
 	case lease.Failed:
-		s.lastFailure = timer.Later(s.lastFailure, f.Run.At)
+		s.lastFailure = timer.Later(s.lastFailure, f.Run.SentAt)
 		rep.End = health.Bad
-		sc.cfg.Log.Info("run failed", "job", e.ID, "task", f.Run.Name, "run", f.Run.Num, "endpoint", s.ID, "after", now.Sub(f.Run.At).Round(time.Millisecond))
+		sc.cfg.Log.Info("run failed", "job", e.ID, "task", f.Run.Name, "run", f.Run.Num, "endpoint", s.ID, "after", now.Sub(f.Run.SentAt).Round(time.Millisecond))
 	default:
 		return
 	}
@@ -233,9 +233,9 @@
 }
 
 // reportHealth updates an endpoint's health and logs when it becomes usable or unusable.
-func (sc *Book) reportHealth(now time.Time, rep health.Report, id string) {
+func (sc *Scheduler) reportHealth(now time.Time, rep health.Report, id string) {
 	was := sc.health.Limit(now, rep.Addr)
-	if n := sc.health.Note(now, rep); (n == 0) != (was == 0) {
+	if n := sc.health.Record(now, rep); (n == 0) != (was == 0) {
 		sc.cfg.Log.Info("endpoint health changed", "endpoint", id, "usable", n > 0, "by", rep.End.String(), "kind", rep.Kind)
 	}
 }
--- a/internal/task/owner/job.go
+++ b/internal/task/owner/job.go
@@ -41,7 +41,7 @@
 }
 
 // By implements lease.Job.
-func (e *entry) By() time.Time { return e.keepalive.Add(e.limits.Outlive()) }
+func (e *entry) EndBy() time.Time { return e.keepalive.Add(e.limits.Outlive()) }
 
 // fresh reports whether the last keepalive is recent enough to start the job's tasks.
 func (e *entry) fresh(now time.Time) bool { return now.Sub(e.keepalive) <= e.limits.Fresh() }
@@ -58,14 +58,14 @@
 }
 
 func newEntry(now time.Time, key Key, j *batch.Job, work time.Duration, limits lease.Limits) *entry {
-	keepalive := j.Asked
+	keepalive := j.AskedAt
 	if keepalive.IsZero() || keepalive.After(now) {
 		keepalive = now
 	}
 	arrived := keepalive.Add(-j.Age)
 	e := &entry{
-		Job: j, key: key, arrived: arrived, deadline: keepalive.Add(j.Left), keepalive: keepalive, limits: limits, steps: make([]step, len(j.Steps)), stepsLeft: len(j.Steps),
-		objective: arrived.Add(j.Aim(work) - j.Waited),
+		Job: j, key: key, arrived: arrived, deadline: keepalive.Add(j.TimeLeft), keepalive: keepalive, limits: limits, steps: make([]step, len(j.Steps)), stepsLeft: len(j.Steps),
+		objective: arrived.Add(j.Objective(work) - j.Waited),
 		runs:      map[*lease.Run]*lease.Endpoint{},
 	}
 	for i := range e.steps {
--- a/internal/task/owner/loss.go
+++ b/internal/task/owner/loss.go
@@ -30,7 +30,7 @@
 )
 
 // noteLoss records the first sign of an endpoint's loss, if it is new, and returns its time.
-func (sc *Book) noteLoss(now time.Time, id string) time.Time {
+func (sc *Scheduler) noteLoss(now time.Time, id string) time.Time {
 	l, ok := sc.losses[id]
 	if !ok {
 		l = loss{now, true}
@@ -40,14 +40,14 @@
 }
 
 // clearLoss forgets this owner's loss of an endpoint that answers again.
-func (sc *Book) clearLoss(id string) {
+func (sc *Scheduler) clearLoss(id string) {
 	if sc.losses[id].own {
 		delete(sc.losses, id)
 	}
 }
 
 // countLosses returns how many endpoints were lost at about the given time.
-func (sc *Book) countLosses(at time.Time) (n int) {
+func (sc *Scheduler) countLosses(at time.Time) (n int) {
 	for _, l := range sc.losses {
 		if l.at.Sub(at).Abs() <= outageWindow {
 			n++
@@ -60,7 +60,7 @@
 //
 // Without it, when endpoints of many owners fail at once, each sees only a few, most of which ran the
 // same job, and suspects its tasks: "task suspected" at many owners, and innocent jobs given up.
-func (sc *Book) Losses(now time.Time) (all []Loss) {
+func (sc *Scheduler) Losses(now time.Time) (all []Loss) {
 	for id, l := range sc.losses {
 		switch age := now.Sub(l.at); {
 		case age > lossRetention:
@@ -74,7 +74,7 @@
 }
 
 // AddLoss records another owner's loss of an endpoint. Each restart of one is a new loss.
-func (sc *Book) Miss(now time.Time, l Loss) {
+func (sc *Scheduler) AddLoss(now time.Time, l Loss) {
 	at := now.Add(-l.Age)
 	if old, ok := sc.losses[l.Endpoint]; l.Age <= lossRetention && (!ok || (!old.own && at.Sub(old.at) > sameLossWindow)) {
 		sc.losses[l.Endpoint] = loss{at: at}
--- a/internal/task/owner/loss_test.go
+++ b/internal/task/owner/loss_test.go
@@ -15,16 +15,16 @@
 const wait = 700 * time.Millisecond // for the losses of other owners
 
 // newSchedulerWithPeers returns a scheduler that waits for the losses of other owners.
-func newSchedulerWithPeers(cores ...float64) *Book {
+func newSchedulerWithPeers(cores ...float64) *Scheduler {
 	sc := newScheduler(cores...)
-	sc.cfg.Hearsay = wait
+	sc.cfg.VerdictDelay = wait
 	return sc
 }
 
 // startJob submits a job of one task and confirms its start.
-func startJob(sc *Book, now time.Time, n uint64, id string) Start {
+func startJob(sc *Scheduler, now time.Time, n uint64, id string) Start {
 	sc.Submit(now, key(n), newJob(id, 0, tasks(1, 30, time.Second)))
-	s := sc.Take().Starts
+	s := sc.TakeActions().Starts
 	begin(sc, now.Add(time.Millisecond), s)
 	return s[0]
 }
@@ -49,7 +49,7 @@
 			sc.Lose(now, s.At.ID, true, "it was restarted")
 			now = now.Add(wait / 2)
 			for i, age := range c.others {
-				sc.Miss(now, Loss{fmt.Sprint("other-", i), age})
+				sc.AddLoss(now, Loss{fmt.Sprint("other-", i), age})
 			}
 			sc.Tick(now)
 			is.Equal(len(sc.suspects), 0) // not yet resolved
@@ -64,12 +64,12 @@
 func TestEndpointLostAgainCountsAgain(t *testing.T) {
 	is := is.New(t)
 	sc := newSchedulerWithPeers(64)
-	sc.Miss(t0, Loss{"x", 0})
-	sc.Miss(t0.Add(200*time.Millisecond), Loss{"x", 100 * time.Millisecond}) // the same loss, reported again
+	sc.AddLoss(t0, Loss{"x", 0})
+	sc.AddLoss(t0.Add(200*time.Millisecond), Loss{"x", 100 * time.Millisecond}) // the same loss, reported again
 	is.Equal(sc.countLosses(t0), 1)
 	again := t0.Add(outageWindow + sameLossWindow)
 	is.Equal(sc.countLosses(again), 0)
-	sc.Miss(again, Loss{"x", 0})
+	sc.AddLoss(again, Loss{"x", 0})
 	is.Equal(sc.countLosses(again), 1)
 }
 
@@ -80,24 +80,24 @@
 	s := startJob(sc, t0, 1, "bad")
 	now := t0.Add(100 * time.Millisecond)
 	sc.Lose(now, s.At.ID, true, "it was restarted")
-	again := sc.Take().Starts
+	again := sc.TakeActions().Starts
 	is.Equal(len(again), 1) // the first loss proves little
 	begin(sc, now.Add(time.Millisecond), again)
 	now = now.Add(100 * time.Millisecond)
 	sc.Lose(now, again[0].At.ID, true, "it was restarted")
 	sc.Tick(now)
-	is.Equal(len(sc.Take().Starts), 0)
+	is.Equal(len(sc.TakeActions().Starts), 0)
 	other := startJob(sc, now, 2, "good") // it needs as much room
 	is.Equal(other.Run.Task.Job, "good")
 	for _, id := range []string{"x", "y", "z"} { // it began on two, so that an outage doesn't explain both
-		sc.Miss(now, Loss{id, 0})
+		sc.AddLoss(now, Loss{id, 0})
 	}
 	sc.Tick(now.Add(wait))
-	a := sc.Take()
+	a := sc.TakeActions()
 	is.Equal(len(a.Starts), 0)
-	is.Equal(len(a.Tells), 1)
-	is.Equal(a.Tells[0].Key, key(1))
-	is.Equal(a.Tells[0].Answer.Outcome, job.Unknown)
+	is.Equal(len(a.Replies), 1)
+	is.Equal(a.Replies[0].Key, key(1))
+	is.Equal(a.Replies[0].Answer.Outcome, job.Unknown)
 }
 
 // Guards against a task that is exempt without end because other endpoints fail all the time.
@@ -105,24 +105,24 @@
 	is := is.New(t)
 	sc := newSchedulerWithPeers(64, 64, 64, 64, 64, 64)
 	bad := newJob("bad", 0, tasks(1, 30, time.Second))
-	bad.Left = time.Minute
+	bad.TimeLeft = time.Minute
 	sc.Submit(t0, key(1), bad)
 	now, lost, answered := t0, 0, 0
 	for ; answered == 0; lost++ {
-		a := sc.Take()
+		a := sc.TakeActions()
 		is.Equal(len(a.Starts), 1)
 		begin(sc, now.Add(time.Millisecond), a.Starts)
 		now = now.Add(2 * outageWindow)
 		sc.Lose(now, a.Starts[0].At.ID, true, "it was restarted")
 		for i := range 4 {
-			sc.Miss(now, Loss{fmt.Sprint(lost, "-", i), 0})
+			sc.AddLoss(now, Loss{fmt.Sprint(lost, "-", i), 0})
 		}
 		sc.Tick(now.Add(wait))
-		answered = len(sc.actions.Tells)
+		answered = len(sc.actions.Replies)
 	}
 	is.Equal(lost, maxExemptions+maxTaskLosses)
 	sc.Submit(now, key(2), bad)
-	is.Equal(len(sc.Take().Starts), 0) // it had all the starts that the users allow
+	is.Equal(len(sc.TakeActions().Starts), 0) // it had all the starts that the users allow
 }
 
 // Guards against endpoints that answer again and still count as lost.
@@ -130,14 +130,14 @@
 	is := is.New(t)
 	sc := newSchedulerWithPeers(64)
 	ep := sc.Find("a")
-	sc.Quiet(t0, ep, errNoAnswer)
+	sc.RenewalFailed(t0, ep, errNoAnswer)
 	is.Equal(len(sc.Losses(t0)), 0) // a single renewal may be lost
-	sc.Quiet(t0, ep, errNoAnswer)
+	sc.RenewalFailed(t0, ep, errNoAnswer)
 	now := t0.Add(time.Second)
 	is.Equal(sc.Losses(now), []Loss{{"a", time.Second}})
 	sc.Renewed(now, now, ep, lease.Report{Clock: 2000})
 	is.Equal(len(sc.Losses(now)), 0)
-	sc.Miss(now, Loss{"b", 0})
+	sc.AddLoss(now, Loss{"b", 0})
 	is.Equal(len(sc.Losses(now)), 0) // only the other owner reports its own losses
 	is.Equal(len(sc.Losses(now.Add(lossRetention+1))), 0)
 	is.Equal(len(sc.losses), 0)
@@ -157,7 +157,7 @@
 				calls++
 				sc.Submit(now, key(calls), newJob(fmt.Sprintf("j%d", calls), 0, tasks(rapid.IntRange(1, 4).Draw(r, "tasks"), 20, 20*time.Second)))
 			case 1:
-				sc.Miss(now, Loss{fmt.Sprint("other-", n), time.Duration(rapid.IntRange(0, 900).Draw(r, "age")) * time.Millisecond})
+				sc.AddLoss(now, Loss{fmt.Sprint("other-", n), time.Duration(rapid.IntRange(0, 900).Draw(r, "age")) * time.Millisecond})
 			case 2:
 				sc.Tick(now)
 			default:
@@ -170,7 +170,7 @@
 				}
 				sc.Lose(now, s.ID, true, "it was restarted")
 			}
-			a := sc.Take()
+			a := sc.TakeActions()
 			for _, x := range a.Starts {
 				if sc.awaitsVerdict(x.Run.Name) {
 					r.Fatalf("%s starts before its losses are resolved", x.Run.Name)
--- a/internal/task/owner/progress.go
+++ b/internal/task/owner/progress.go
@@ -28,7 +28,7 @@
 )
 
 // isSlow reports whether an endpoint is far slower than the others.
-func (sc *Book) isSlow(s *endpoint) bool { return sc.health.Slow(s.Addr) >= slowPercent }
+func (sc *Scheduler) isSlow(s *endpoint) bool { return sc.health.Slowness(s.Addr) >= slowPercent }
 
 // judgeProgress updates an endpoint's health from the progress of the runs that it has just listed.
 //
@@ -36,21 +36,21 @@
 // work meanwhile. Late jobs have their slowest runs on one endpoint. Progress shows the speed early:
 // while eight of 48 endpoints take 6.5 times as long, 0.96 of the worth is earned instead of 0.91
 // (TestSlowEndpointsAreKnownByRunsThatGoOn).
-func (sc *Book) judgeProgress(now time.Time, s *endpoint) {
+func (sc *Scheduler) judgeProgress(now time.Time, s *endpoint) {
 	for _, r := range s.Runs {
 		e := r.Job.(*entry)
-		if e.answered || r.Stage != lease.On || !r.Seen.Equal(now) {
+		if e.answered || r.Stage != lease.Running || !r.LastSeen.Equal(now) {
 			continue
 		}
 		usual := sc.expect(e.Job, &e.Steps[r.Step])
-		ran := now.Sub(r.At)
+		ran := now.Sub(r.SentAt)
 		if ran < time.Duration(judgeAfterPart*float64(usual)) {
 			continue
 		}
 		estimate := ran * 100 / time.Duration(max(minPercent, r.Percent))
-		if !r.Judged {
-			r.Judged = true
-			sc.reportHealth(now, health.Report{Addr: s.Addr, Kind: e.Pool + "/" + e.Queue, End: health.Going, Ran: estimate, Usual: usual}, s.ID)
+		if !r.SpeedRecorded {
+			r.SpeedRecorded = true
+			sc.reportHealth(now, health.Report{Addr: s.Addr, Kind: e.Pool + "/" + e.Queue, End: health.Going, Ran: estimate, Expected: usual}, s.ID)
 		}
 		if sc.isSlow(s) && estimate-ran > time.Duration(moveFactor*float64(usual))+moveCost {
 			sc.move(now, e, s, r)
@@ -60,7 +60,7 @@
 
 // move stops a run on a slow endpoint if its task would end sooner on another one that has room now.
 // A job is moved at most as many times as it has tasks.
-func (sc *Book) move(now time.Time, e *entry, s *endpoint, r *lease.Run) {
+func (sc *Scheduler) move(now time.Time, e *entry, s *endpoint, r *lease.Run) {
 	st := &e.Steps[r.Step]
 	if e.moves >= e.Tasks() || st.Gang {
 		return
@@ -69,6 +69,6 @@
 		return
 	}
 	e.moves++
-	sc.cfg.Log.Info("run moved", "job", e.ID, "task", r.Name, "run", r.Num, "endpoint", s.ID, "percent", r.Percent, "after", now.Sub(r.At).Round(time.Millisecond), "slow_percent", sc.health.Slow(s.Addr))
+	sc.cfg.Log.Info("run moved", "job", e.ID, "task", r.Name, "run", r.Num, "endpoint", s.ID, "percent", r.Percent, "after", now.Sub(r.SentAt).Round(time.Millisecond), "slow_percent", sc.health.Slowness(s.Addr))
 	sc.stop(s.Endpoint, r)
 }
--- a/internal/task/owner/progress_test.go
+++ b/internal/task/owner/progress_test.go
@@ -11,20 +11,20 @@
 )
 
 // slowDown makes the scheduler rate an endpoint five times as slow as the others.
-func slowDown(sc *Book, id string) {
+func slowDown(sc *Scheduler, id string) {
 	for range 20 {
 		for _, s := range sc.order {
-			r := health.Report{Addr: s.Addr, Kind: "p/q", End: health.OK, Ran: 100 * time.Millisecond, Usual: 100 * time.Millisecond}
+			r := health.Report{Addr: s.Addr, Kind: "p/q", End: health.OK, Ran: 100 * time.Millisecond, Expected: 100 * time.Millisecond}
 			if s.ID == id {
 				r.Ran *= 5
 			}
-			sc.health.Note(t0, r)
+			sc.health.Record(t0, r)
 		}
 	}
 }
 
 // list reports the runs of an endpoint with the given progress.
-func list(sc *Book, now time.Time, id string, percent int) {
+func list(sc *Scheduler, now time.Time, id string, percent int) {
 	ep := sc.Find(id)
 	r := lease.Report{Clock: now.Sub(t0).Milliseconds()}
 	for _, x := range ep.Runs {
@@ -40,16 +40,16 @@
 	sc := newScheduler(64, 64, 64, 64)
 	const work = 200 * time.Millisecond
 	sc.Submit(t0, key(1), newJob("j1", 0, tasks(1, 30, work)))
-	s := sc.Take().Starts[0]
+	s := sc.TakeActions().Starts[0]
 	begin(sc, t0, []Start{s})
 	slowDown(sc, s.At.ID)
 	list(sc, t0.Add(work/2), s.At.ID, 10)
-	is.Equal(len(sc.Take().Stops), 0) // too early to judge
+	is.Equal(len(sc.TakeActions().Stops), 0) // too early to judge
 	list(sc, t0.Add(work), s.At.ID, 20)
-	is.Equal(len(sc.Take().Stops), 1)
+	is.Equal(len(sc.TakeActions().Stops), 1)
 	over := t0.Add(work + 10*time.Millisecond)
 	finish(sc, over, s, lease.Gone)
-	again := sc.Take().Starts
+	again := sc.TakeActions().Starts
 	is.Equal(len(again), 1)
 	is.True(again[0].At != s.At)
 	is.True(again[0].Run.Num > s.Run.Num)
@@ -62,12 +62,12 @@
 	sc := newScheduler(64, 64)
 	const work = 200 * time.Millisecond
 	sc.Submit(t0, key(1), newJob("j1", 0, tasks(1, 30, work)))
-	s := sc.Take().Starts[0]
+	s := sc.TakeActions().Starts[0]
 	begin(sc, t0, []Start{s})
 	for n := range 10 {
 		list(sc, t0.Add(time.Duration(n)*work), s.At.ID, 3*n)
 	}
-	is.Equal(len(sc.Take().Stops), 0)
+	is.Equal(len(sc.TakeActions().Stops), 0)
 }
 
 // In a burst while a rack is slow, the healthy endpoints are full and the slow ones have room. If that
@@ -81,13 +81,13 @@
 	is.Equal(full.Total, 3*64.0)
 	sc.Submit(t0, key(1), newJob("j1", 0, tasks(6, 30, time.Second)))
 	sc.endpoints["d"].lastStart = t0
-	starts := sc.Take().Starts
+	starts := sc.TakeActions().Starts
 	is.Equal(len(starts), 6)
 	for _, s := range starts {
 		is.True(s.At.ID != "d")
 	}
 	sc.Submit(t0, key(2), newJob("j2", 0, tasks(1, 30, 100*time.Millisecond)))
-	late := sc.Take()
+	late := sc.TakeActions()
 	is.Equal(len(late.Starts), 1) // it can't be in time anywhere, and delays nobody
 	is.Equal(late.Starts[0].At.ID, "d")
 }
--- a/internal/task/owner/review.go
+++ b/internal/task/owner/review.go
@@ -10,7 +10,7 @@
 )
 
 // Cancel ends a job whose caller left or whose VM is gone.
-func (sc *Book) Cancel(now time.Time, key Key, why string) {
+func (sc *Scheduler) Cancel(now time.Time, key Key, why string) {
 	e := sc.jobs[key]
 	if e == nil || e.answered {
 		return
@@ -20,7 +20,7 @@
 }
 
 // Keepalive records that the VM of a job's caller still waited for it at a time of this VM's clock.
-func (sc *Book) Keepalive(now time.Time, key Key, at time.Time) {
+func (sc *Scheduler) Keepalive(now time.Time, key Key, at time.Time) {
 	e := sc.jobs[key]
 	if e == nil || e.answered || !at.After(e.keepalive) {
 		return
@@ -34,7 +34,7 @@
 
 // CancelMatching ends all jobs of a VM that was lost or replaced: nobody waits for them any more, and
 // their callers will submit them again elsewhere.
-func (sc *Book) CancelOf(now time.Time, gone func(Key) bool, why string) {
+func (sc *Scheduler) CancelMatching(now time.Time, gone func(Key) bool, why string) {
 	for k, e := range sc.jobs {
 		if !e.answered && gone(k) {
 			sc.finish(now, e, job.Answer{Outcome: e.outcome(), Reason: job.Silent, Detail: why})
@@ -44,9 +44,9 @@
 }
 
 // Tick ends jobs that are out of time and runs on silent endpoints whose lease has run out.
-func (sc *Book) Tick(now time.Time) {
+func (sc *Scheduler) Tick(now time.Time) {
 	for _, s := range sc.order {
-		ended := s.Lapsed(now)
+		ended := s.ExpireLease(now)
 		if !s.lost { // another VM owns a lost one: its silence says nothing
 			sc.recordLostRuns(now, s, ended)
 		}
@@ -65,7 +65,7 @@
 }
 
 // review ends a job that is out of time or can't be answered in time to be useful.
-func (sc *Book) review(now time.Time, e *entry) {
+func (sc *Scheduler) review(now time.Time, e *entry) {
 	switch {
 	case e.answered:
 		for r, ep := range e.runs { // a stop may have been lost
@@ -85,7 +85,7 @@
 }
 
 // reviewWaiting reviews a job of which nothing has begun.
-func (sc *Book) reviewWaiting(now time.Time, e *entry) {
+func (sc *Scheduler) reviewWaiting(now time.Time, e *entry) {
 	switch {
 	case !sc.placeable(e.Job): // another owner may run it
 		sc.finish(now, e, job.Answer{Outcome: job.Refused, Reason: job.NoEndpoint, Detail: sc.noEndpointDetail()})
@@ -101,12 +101,12 @@
 }
 
 // stopStuck stops the runs of a job that take far longer than expected.
-func (sc *Book) stopStuck(now time.Time, e *entry) {
+func (sc *Scheduler) stopStuck(now time.Time, e *entry) {
 	for r, ep := range e.runs {
-		if r.Stage != lease.On || !sc.stuck(now, e, r) {
+		if r.Stage != lease.Running || !sc.stuck(now, e, r) {
 			continue
 		}
-		sc.cfg.Log.Info("run stuck", "job", e.ID, "task", r.Name, "run", r.Num, "endpoint", ep.ID, "percent", r.Percent, "after", now.Sub(r.At).Round(time.Millisecond))
+		sc.cfg.Log.Info("run stuck", "job", e.ID, "task", r.Name, "run", r.Num, "endpoint", ep.ID, "percent", r.Percent, "after", now.Sub(r.SentAt).Round(time.Millisecond))
 		sc.reportHealth(now, health.Report{Addr: ep.Addr, Kind: e.Pool + "/" + e.Queue, End: health.Silent}, ep.ID)
 		sc.stop(ep, r)
 	}
@@ -120,7 +120,7 @@
 	minStuckTime = 400 * time.Millisecond
 )
 
-func (sc *Book) stuck(now time.Time, e *entry, r *lease.Run) bool {
+func (sc *Scheduler) stuck(now time.Time, e *entry, r *lease.Run) bool {
 	limit := max(minStuckTime, stuckFactor*sc.expect(e.Job, &e.Steps[r.Step]))
-	return now.Sub(r.At) > limit && r.Percent < 50
+	return now.Sub(r.SentAt) > limit && r.Percent < 50
 }
--- a/internal/task/owner/scheduler.go
+++ b/internal/task/owner/scheduler.go
@@ -29,12 +29,12 @@
 // Stop is an order to end a run.
 type Stop struct {
 	At    *lease.Endpoint
-	Name  lease.Name
+	Name  lease.RunID
 	Fence uint64
 }
 
 // Reply is a job's final answer, for the VM that accepted it from the caller.
-type Tell struct {
+type Reply struct {
 	Key    Key
 	Answer job.Answer
 }
@@ -44,10 +44,10 @@
 
 // Actions lists what follows from an event, in order.
 type Actions struct {
-	Starts []Start
-	Stops  []Stop
-	Tells  []Tell
-	Wakes  []Renewal
+	Starts   []Start
+	Stops    []Stop
+	Replies  []Reply
+	Renewals []Renewal
 }
 
 // endpoint is an owned endpoint with its owner's scheduling state.
@@ -66,28 +66,28 @@
 
 // Config holds the settings of a Scheduler.
 type Config struct {
-	Limits lease.Limits
-	Far    float64 // how many times longer a task runs away from its data
+	Limits       lease.Limits
+	RemoteFactor float64 // how many times longer a task runs away from its data
 	// VerdictDelay is how long after the first sign of a loss other owners may report theirs; 0 without other owners.
-	Hearsay time.Duration
-	Log     *slog.Logger
+	VerdictDelay time.Duration
+	Log          *slog.Logger
 	// OrderDelay returns how long it takes to send n orders now; nil if next to nothing.
-	Orders func(n int) time.Duration
+	OrderDelay func(n int) time.Duration
 	// Outlived is called for each job that ended before its runs, with the time from the job's last
 	// keepalive to the end of its last run; may be nil.
 	Outlived func(d time.Duration)
 }
 
 // Scheduler holds the state of one owner; the caller serializes all calls.
-type Book struct {
+type Scheduler struct {
 	cfg          Config
 	endpoints    map[string]*endpoint
 	order        []*endpoint // sorted by ID, so that ties are broken the same way each time
 	jobs         map[Key]*entry
 	queue        []*entry // jobs with tasks to start, in the order of starting
 	byID         map[string]*entry
-	health       *health.Book
-	learn        learn.Book
+	health       *health.Tracker
+	learn        learn.Estimator
 	runNums      map[string]int // highest run numbers of jobs that ended lately, by job ID
 	runNumsReset time.Time
 	inflow       [rankCount]workRate
@@ -108,27 +108,27 @@
 }
 
 // New returns a Scheduler that owns no endpoint.
-func New(cfg Config) *Book {
-	return &Book{
+func New(cfg Config) *Scheduler {
+	return &Scheduler{
 		cfg: cfg, endpoints: map[string]*endpoint{}, jobs: map[Key]*entry{}, byID: map[string]*entry{},
-		health: health.New(health.Tame), runNums: map[string]int{}, cordons: map[string]time.Time{},
+		health: health.New(health.SteadyGain), runNums: map[string]int{}, cordons: map[string]time.Time{},
 		suspects: map[string]int{}, exemptions: map[string]exemption{}, pending: map[string]int{}, suspectedAt: map[string]time.Time{}, losses: map[string]loss{},
 	}
 }
 
 // TakeActions returns the actions since the last call.
-func (sc *Book) Take() Actions {
+func (sc *Scheduler) TakeActions() Actions {
 	a := sc.actions
 	sc.actions = Actions{}
 	return a
 }
 
 // Jobs returns the number of jobs that wait or run.
-func (sc *Book) Jobs() int { return len(sc.jobs) }
+func (sc *Scheduler) Jobs() int { return len(sc.jobs) }
 
 // expect returns how long a task of a job's step is expected to run. The kind's mean and the declared
 // time are about equally far off, so their geometric mean is closer than either.
-func (sc *Book) expect(j *batch.Job, s *batch.Step) time.Duration {
+func (sc *Scheduler) expect(j *batch.Job, s *batch.Step) time.Duration {
 	k := learn.Key{Tenant: j.Pool, Kind: j.Queue}
 	mean := sc.learn.Expect(k, s.Run).Mean
 	if s.Run <= 0 {
@@ -138,12 +138,12 @@
 }
 
 // chain returns the expected work of the job's longest chain of steps.
-func (sc *Book) chain(j *batch.Job) time.Duration {
-	return j.Chain(func(s *batch.Step) time.Duration { return sc.expect(j, s) })
+func (sc *Scheduler) chain(j *batch.Job) time.Duration {
+	return j.CriticalPath(func(s *batch.Step) time.Duration { return sc.expect(j, s) })
 }
 
 // enqueue inserts a job into the queue by rank, then by its objective.
-func (sc *Book) enqueue(e *entry) {
+func (sc *Scheduler) enqueue(e *entry) {
 	if slices.Contains(sc.queue, e) {
 		return
 	}
@@ -164,12 +164,12 @@
 }
 
 // finish answers a job and stops its remaining runs.
-func (sc *Book) finish(now time.Time, e *entry, a job.Answer) {
+func (sc *Scheduler) finish(now time.Time, e *entry, a job.Answer) {
 	e.answered, e.ended = true, now
 	sc.cfg.Log.Info("job ended", "job", e.ID, "outcome", a.Outcome.String(), "reason", string(a.Reason), "detail", a.Detail,
 		"age", now.Sub(e.arrived).Round(time.Millisecond), "until_objective", e.objective.Sub(now).Round(time.Millisecond), "late", e.late, "starts", e.starts,
 		"slowest", e.slowest.Round(time.Millisecond), "slowest_endpoint", e.slowestAt, "runs", len(e.runs), "since_keepalive", now.Sub(e.keepalive).Round(time.Millisecond))
-	sc.actions.Tells = append(sc.actions.Tells, Tell{e.key, a})
+	sc.actions.Replies = append(sc.actions.Replies, Reply{e.key, a})
 	sc.queue = slices.DeleteFunc(sc.queue, func(x *entry) bool { return x == e })
 	for r, ep := range e.runs {
 		sc.stop(ep, r)
@@ -179,7 +179,7 @@
 
 // forget drops an answered job without runs. Its run numbers are kept for a while: if the job is
 // submitted again, it must not reuse a number whose run has ended on an endpoint.
-func (sc *Book) forget(now time.Time, e *entry) {
+func (sc *Scheduler) forget(now time.Time, e *entry) {
 	if !e.answered || len(e.runs) > 0 {
 		return
 	}
@@ -205,7 +205,7 @@
 }
 
 // reportOutlived reports how long runs went on after their job ended.
-func (sc *Book) reportOutlived(now time.Time, e *entry) {
+func (sc *Scheduler) reportOutlived(now time.Time, e *entry) {
 	sc.cfg.Log.Info("runs of ended job over", "job", e.ID, "by", e.key.VM, "after", e.lastEnd.Sub(e.ended).Round(time.Millisecond), "after_keepalive", e.lastEnd.Sub(e.keepalive).Round(time.Millisecond),
 		"noticed_after", now.Sub(e.lastEnd).Round(time.Millisecond))
 	if sc.cfg.Outlived != nil {
@@ -216,7 +216,7 @@
 // runNumsKept is how long run numbers of ended jobs are kept at least; callers retry within seconds.
 const runNumsKept = 20 * time.Second
 
-func (sc *Book) stop(ep *lease.Endpoint, r *lease.Run) {
+func (sc *Scheduler) stop(ep *lease.Endpoint, r *lease.Run) {
 	ep.Stop(r)
-	sc.actions.Stops = append(sc.actions.Stops, Stop{At: ep, Name: lease.Name{Task: r.Name, Num: r.Num}, Fence: ep.Fence})
+	sc.actions.Stops = append(sc.actions.Stops, Stop{At: ep, Name: lease.RunID{Task: r.Name, Num: r.Num}, Fence: ep.Fence})
 }
--- a/internal/task/owner/submit.go
+++ b/internal/task/owner/submit.go
@@ -11,20 +11,20 @@
 
 // Submit accepts a job or refuses it at once: a caller that is refused early can go to another VM, and
 // work that can't be done in time would delay work that can.
-func (sc *Book) Submit(now time.Time, key Key, j *batch.Job) {
+func (sc *Scheduler) Submit(now time.Time, key Key, j *batch.Job) {
 	if old := sc.byID[j.ID]; old != nil {
 		if !old.answered {
 			sc.finish(now, old, job.Answer{Outcome: job.Unknown, Reason: job.StillRuns, Detail: "the same job was submitted again"})
 		}
 		if len(old.runs) > 0 {
 			sc.cfg.Log.Info("job still runs", "job", j.ID, "by", key.VM, "runs", len(old.runs), "since_keepalive", now.Sub(old.keepalive).Round(time.Millisecond))
-			sc.actions.Tells = append(sc.actions.Tells, Tell{key, job.Answer{Outcome: job.Unknown, Reason: job.StillRuns, Retry: sc.stopBound(now, old), Detail: "a run of the same job is being stopped"}})
+			sc.actions.Replies = append(sc.actions.Replies, Reply{key, job.Answer{Outcome: job.Unknown, Reason: job.StillRuns, Retry: sc.stopBound(now, old), Detail: "a run of the same job is being stopped"}})
 			return
 		}
 	}
 	if task := sc.crashingTask(j.ID); task != "" {
 		sc.cfg.Log.Info("job given up", "job", j.ID, "by", key.VM, "task", task, "lost", sc.suspects[task])
-		sc.actions.Tells = append(sc.actions.Tells, Tell{key, job.Answer{Outcome: job.Unknown, Reason: job.Silent, Detail: task + " was running when three endpoints were lost; it is not started again"}})
+		sc.actions.Replies = append(sc.actions.Replies, Reply{key, job.Answer{Outcome: job.Unknown, Reason: job.Silent, Detail: task + " was running when three endpoints were lost; it is not started again"}})
 		return
 	}
 	if !sc.placeable(j) {
@@ -46,7 +46,7 @@
 		sc.refuse(now, key, j, job.Overload, late, "it would wait "+wait.Round(time.Millisecond).String()+", too long by "+late.Round(time.Millisecond).String())
 		return
 	}
-	sc.cfg.Log.Info("job accepted", "job", j.ID, "by", key.VM, "queue", j.Queue, "rank", j.Rank, "tasks", j.Tasks(), "cores", j.Steps[0].Need.Cores, "work", sc.chain(j), "wait", wait, "late", e.late, "left", j.Left, "waited", j.Waited)
+	sc.cfg.Log.Info("job accepted", "job", j.ID, "by", key.VM, "queue", j.Queue, "rank", j.Rank, "tasks", j.Tasks(), "cores", j.Steps[0].Need.Cores, "work", sc.chain(j), "wait", wait, "late", e.late, "left", j.TimeLeft, "waited", j.Waited)
 	sc.jobs[key] = e
 	sc.byID[j.ID] = e
 	sc.enqueue(e)
@@ -57,22 +57,22 @@
 const stopWait = 300 * time.Millisecond
 
 // stopBound returns how much longer the runs of an ended job may go on if no stop is confirmed.
-func (sc *Book) stopBound(now time.Time, e *entry) time.Duration {
+func (sc *Scheduler) stopBound(now time.Time, e *entry) time.Duration {
 	if sc.cfg.Limits.Resend <= 0 { // only the endpoint's lease limits them, which other runs extend
 		return stopWait
 	}
-	return max(stopWait, e.By().Sub(now))
+	return max(stopWait, e.EndBy().Sub(now))
 }
 
-func (sc *Book) refuse(now time.Time, key Key, j *batch.Job, why job.Reason, retry time.Duration, detail string) {
+func (sc *Scheduler) refuse(now time.Time, key Key, j *batch.Job, why job.Reason, retry time.Duration, detail string) {
 	sc.cfg.Log.Info("job refused", "job", j.ID, "by", key.VM, "queue", j.Queue, "rank", j.Rank, "tasks", j.Tasks(), "cores", j.Steps[0].Need.Cores, "reason", string(why), "detail", detail,
 		"queued", len(sc.queue), "free_cores", sc.freeCores(), "fitting_tasks", sc.fittingTasks(j), "pressure", math.Round(100*sc.pressure(now, rankCount))/100)
-	sc.actions.Tells = append(sc.actions.Tells, Tell{key, job.Answer{Outcome: job.Refused, Reason: why, Retry: retry, Detail: detail}})
+	sc.actions.Replies = append(sc.actions.Replies, Reply{key, job.Answer{Outcome: job.Refused, Reason: why, Retry: retry, Detail: detail}})
 }
 
 // fittingTasks returns how many tasks of a job's first step have room now. Logged with a refusal, it
 // shows whether room was left unused.
-func (sc *Book) fittingTasks(j *batch.Job) (n int) {
+func (sc *Scheduler) fittingTasks(j *batch.Job) (n int) {
 	st := &j.Steps[0]
 	for _, s := range sc.order {
 		if s.Open() && !s.lost && !s.handingOver && matches(s, st, j.Pool) {
@@ -83,7 +83,7 @@
 }
 
 // freeCores returns the unused cores of the endpoints that accept work.
-func (sc *Book) freeCores() (n float64) {
+func (sc *Scheduler) freeCores() (n float64) {
 	for _, s := range sc.order {
 		if s.Open() && !s.lost && !s.handingOver {
 			n += s.Free().Cores
@@ -93,7 +93,7 @@
 }
 
 // placeable reports whether each step could start on some endpoint if it were empty.
-func (sc *Book) placeable(j *batch.Job) bool {
+func (sc *Scheduler) placeable(j *batch.Job) bool {
 	for i := range j.Steps {
 		st := &j.Steps[i]
 		if !slices.ContainsFunc(sc.order, func(s *endpoint) bool {
--- a/internal/task/owner/suspect.go
+++ b/internal/task/owner/suspect.go
@@ -27,7 +27,7 @@
 //
 // Without it, when the caller of a job that ended as unknown submits it again, another owner accepts
 // it, and its task crashes two more endpoints there: owner after owner suspects the same task.
-func (sc *Book) Suspects(now time.Time) (all []Suspect) {
+func (sc *Scheduler) Suspects(now time.Time) (all []Suspect) {
 	sc.suspicions = slices.DeleteFunc(sc.suspicions, func(n suspicion) bool { return now.Sub(n.at) > shareFor })
 	for _, n := range sc.suspicions[max(0, len(sc.suspicions)-maxSuspects):] {
 		all = append(all, n.Suspect)
@@ -36,7 +36,7 @@
 }
 
 // AddSuspect records a suspicion of another owner.
-func (sc *Book) Heed(now time.Time, s Suspect) {
+func (sc *Scheduler) AddSuspect(now time.Time, s Suspect) {
 	if s.Lost <= sc.suspects[s.Task] {
 		return
 	}
--- a/internal/task/owner/takeover.go
+++ b/internal/task/owner/takeover.go
@@ -26,13 +26,13 @@
 )
 
 // noteCleared records that an endpoint that another VM used before has no runs of that VM left.
-func (sc *Book) noteCleared(now time.Time, s *endpoint) {
+func (sc *Scheduler) noteCleared(now time.Time, s *endpoint) {
 	sc.cfg.Log.Info("endpoint cleared", "endpoint", s.ID, "fence", s.Fence)
 	sc.recentCleared = append(sc.recentCleared, clearedEntry{now, Cleared{s.ID, s.Fence}})
 }
 
 // Cleared lists the endpoints taken over from other owners lately, in turns if there are too many.
-func (sc *Book) Cleared(now time.Time) (all []Cleared) {
+func (sc *Scheduler) Cleared(now time.Time) (all []Cleared) {
 	sc.recentCleared = slices.DeleteFunc(sc.recentCleared, func(c clearedEntry) bool { return now.Sub(c.at) > clearedFor })
 	n := min(maxCleared, len(sc.recentCleared))
 	for _, c := range sc.recentCleared[:n] {
@@ -44,7 +44,7 @@
 
 // ApplyCleared records that another owner has cleared an endpoint: runs that this one started there
 // under a lower fence are over and can restart elsewhere. With equal fences the endpoint obeys both.
-func (sc *Book) Yield(now time.Time, c Cleared) {
+func (sc *Scheduler) ApplyCleared(now time.Time, c Cleared) {
 	s := sc.endpoints[c.Endpoint]
 	if s == nil || c.Fence <= s.Fence {
 		return
@@ -54,7 +54,7 @@
 		return // it had no runs
 	}
 	sc.cfg.Log.Info("runs ended by new owner", "endpoint", s.ID, "runs", len(s.Runs), "fence", s.Fence, "new_fence", c.Fence)
-	sc.runsEnded(now, s, s.Cleared(), "cleared by another VM")
+	sc.runsEnded(now, s, s.EndFenced(), "cleared by another VM")
 	sc.remove(c.Endpoint)
 	sc.dispatch(now)
 }
--- a/internal/task/owner/takeover_test.go
+++ b/internal/task/owner/takeover_test.go
@@ -34,16 +34,16 @@
 				is := is.New(t)
 				sc := newScheduler(64, 96)
 				sc.Submit(t0, key(1), newJob("j1", 0, tasks(1, 30, time.Second)))
-				first := sc.Take().Starts
+				first := sc.TakeActions().Starts
 				begin(sc, t0, first)
 				is.Equal(first[0].At.ID, "a")
 				if lost {
 					sc.Lose(t0, "a", false, "another VM owns it")
 				}
-				sc.Yield(t0, c.msg)
+				sc.ApplyCleared(t0, c.msg)
 				is.Equal(sc.Owned("a"), !lost && !c.over)
 				sc.Tick(t0)
-				next := sc.Take().Starts
+				next := sc.TakeActions().Starts
 				is.Equal(len(next) == 1, c.over)
 				if c.over {
 					is.Equal(next[0].At.ID, "b")
@@ -60,18 +60,18 @@
 	sc := newScheduler(64)
 	in := sc.Find("a").Info
 	sc.Submit(t0, key(1), newJob("j1", 0, tasks(1, 30, time.Second)))
-	begin(sc, t0, sc.Take().Starts)
+	begin(sc, t0, sc.TakeActions().Starts)
 	sc.Lose(t0, "a", false, "another VM owns it")
 	sc.Own(in, 9)
 	is.True(!sc.Owned("a")) // its runs may go on
-	sc.Yield(t0, Cleared{"a", 8})
+	sc.ApplyCleared(t0, Cleared{"a", 8})
 	sc.Own(in, 9)
 	sc.Renewed(t0, t0, sc.Find("a"), lease.Report{Clock: 1000})
-	again := sc.Take().Starts
+	again := sc.TakeActions().Starts
 	is.Equal(len(again), 1)
 	begin(sc, t0, again)
-	sc.Yield(t0, Cleared{"a", 8}) // the same message once more
-	is.Equal(again[0].Run.Stage, lease.On)
+	sc.ApplyCleared(t0, Cleared{"a", 8}) // the same message once more
+	is.Equal(again[0].Run.Stage, lease.Running)
 	is.True(sc.Owned("a"))
 }
 
@@ -106,19 +106,19 @@
 	r          *rapid.T
 	now        time.Time
 	info       lease.Info
-	schedulers [2]*Book
+	schedulers [2]*Scheduler
 	top        uint64 // highest fence used so far
 	calls      uint64
 
 	fence      uint64 // highest fence the endpoint has obeyed
-	running    map[lease.Name]bool
-	ended      map[lease.Name]bool // runs that were stopped or ended: they never begin
+	running    map[lease.RunID]bool
+	ended      map[lease.RunID]bool // runs that were stopped or ended: they never begin
 	endReports []lease.Ended
 	serial     int64
 
 	orders      []func()
 	messages    []Cleared
-	cleared     map[lease.Name]bool // runs that an owner considers over because of a message
+	cleared     map[lease.RunID]bool // runs that an owner considers over because of a message
 	clearedRuns int
 }
 
@@ -131,10 +131,10 @@
 	return true
 }
 
-func (c *contest) start(sc *Book, s Start) {
-	n := lease.Name{Task: s.Run.Name, Num: s.Run.Num}
+func (c *contest) start(sc *Scheduler, s Start) {
+	n := lease.RunID{Task: s.Run.Name, Num: s.Run.Num}
 	if !c.obey(s.Fence) {
-		sc.Ordered(c.now, s, 0, &agent.RefusedError{Why: agent.Fenced})
+		sc.StartResult(c.now, s, 0, &agent.RefusedError{Why: agent.Fenced})
 		return
 	}
 	if !c.ended[n] {
@@ -144,20 +144,20 @@
 		c.running[n] = true
 	}
 	if rapid.Bool().Draw(c.r, "answered") {
-		sc.Ordered(c.now, s, 0, nil)
+		sc.StartResult(c.now, s, 0, nil)
 	}
 }
 
-func (c *contest) end(n lease.Name, how lease.How) {
+func (c *contest) end(n lease.RunID, how lease.EndState) {
 	c.ended[n] = true
 	if c.running[n] {
 		delete(c.running, n)
 		c.serial++
-		c.endReports = append(c.endReports, lease.Ended{Serial: c.serial, Name: n.Task, Num: n.Num, How: how})
+		c.endReports = append(c.endReports, lease.Ended{Serial: c.serial, Name: n.Task, Num: n.Num, State: how})
 	}
 }
 
-func (c *contest) stop(sc *Book, s Stop) {
+func (c *contest) stop(sc *Scheduler, s Stop) {
 	if !c.obey(s.Fence) {
 		return
 	}
@@ -168,7 +168,7 @@
 	}
 }
 
-func (c *contest) renew(sc *Book, ep *lease.Endpoint) {
+func (c *contest) renew(sc *Scheduler, ep *lease.Endpoint) {
 	sent := c.now
 	c.orders = append(c.orders, func() {
 		if !c.obey(ep.Fence) {
@@ -189,19 +189,19 @@
 	})
 }
 
-func (c *contest) applyCleared(sc *Book, m Cleared) {
+func (c *contest) applyCleared(sc *Scheduler, m Cleared) {
 	var runs []*lease.Run
 	if s := sc.endpoints[m.Endpoint]; s != nil {
 		for _, r := range s.Runs {
 			runs = append(runs, r)
 		}
 	}
-	sc.Yield(c.now, m)
+	sc.ApplyCleared(c.now, m)
 	for _, r := range runs {
 		if r.Stage != lease.Over {
 			continue
 		}
-		n := lease.Name{Task: r.Name, Num: r.Num}
+		n := lease.RunID{Task: r.Name, Num: r.Num}
 		if c.running[n] {
 			c.r.Fatalf("%v runs though its owner considers it over", n)
 		}
@@ -211,8 +211,8 @@
 }
 
 // send queues a scheduler's actions for delivery.
-func (c *contest) send(sc *Book) {
-	a := sc.Take()
+func (c *contest) send(sc *Scheduler) {
+	a := sc.TakeActions()
 	for _, s := range a.Starts {
 		c.orders = append(c.orders, func() { c.start(sc, s) })
 	}
@@ -257,7 +257,7 @@
 			c.applyCleared(sc, c.messages[rapid.IntRange(0, n-1).Draw(c.r, "word")])
 		}
 	case "end":
-		all := slices.SortedFunc(maps.Keys(c.running), func(a, b lease.Name) int { return strings.Compare(a.Task, b.Task) })
+		all := slices.SortedFunc(maps.Keys(c.running), func(a, b lease.RunID) int { return strings.Compare(a.Task, b.Task) })
 		if len(all) > 0 {
 			c.end(rapid.SampledFrom(all).Draw(c.r, "run"), lease.Done)
 		}
@@ -274,8 +274,8 @@
 	cleared := 0
 	rapid.Check(t, func(r *rapid.T) {
 		c := &contest{
-			r: r, now: t0, info: lease.Info{ID: "x", Pool: "p", Size: job.Size{Cores: 64, Memory: 64}}, schedulers: [2]*Book{newScheduler(), newScheduler()}, top: 7,
-			running: map[lease.Name]bool{}, ended: map[lease.Name]bool{}, cleared: map[lease.Name]bool{},
+			r: r, now: t0, info: lease.Info{ID: "x", Pool: "p", Size: job.Size{Cores: 64, Memory: 64}}, schedulers: [2]*Scheduler{newScheduler(), newScheduler()}, top: 7,
+			running: map[lease.RunID]bool{}, ended: map[lease.RunID]bool{}, cleared: map[lease.RunID]bool{},
 		}
 		for range 300 {
 			c.step()
--- a/internal/task/place/endpoint.go
+++ b/internal/task/place/endpoint.go
@@ -49,23 +49,23 @@
 func (e *Endpoint) SetLimit(n int) { e.limit.Store(int32(n)) }
 
 // Slowness returns how long tasks run here, in percent of the average endpoint.
-func (e *Endpoint) Slow() int { return int(e.slow.Load()) }
+func (e *Endpoint) Slowness() int { return int(e.slow.Load()) }
 
 // SetSlowness sets the measured slowness in percent.
-func (e *Endpoint) SetSlow(percent int) { e.slow.Store(int32(percent)) }
+func (e *Endpoint) SetSlowness(percent int) { e.slow.Store(int32(percent)) }
 
 // MarkLeaving stops all new work at once. It can't be undone, since an endpoint that
 // comes back is a new incarnation with a new entry in the list.
-func (e *Endpoint) Leave() { e.leaving.Store(true) }
+func (e *Endpoint) MarkLeaving() { e.leaving.Store(true) }
 
 // Leaving reports whether MarkLeaving was called.
 func (e *Endpoint) Leaving() bool { return e.leaving.Load() }
 
 // Answered records that the endpoint answered.
-func (e *Endpoint) Hear(now time.Time) { e.answeredAt.Store(now.UnixNano()) }
+func (e *Endpoint) Answered(now time.Time) { e.answeredAt.Store(now.UnixNano()) }
 
 // SilentFor reports whether the endpoint has not answered for at least d.
-func (e *Endpoint) Quiet(now time.Time, d time.Duration) bool {
+func (e *Endpoint) SilentFor(now time.Time, d time.Duration) bool {
 	return now.UnixNano()-e.answeredAt.Load() >= int64(d)
 }
 
@@ -80,10 +80,10 @@
 // that still run there, sends a task to each slot. All are refused, which exhausts the
 // retry budget, and tasks wait for it past their deadlines: refusals right after a
 // change of members.
-func (e *Endpoint) Full(now time.Time) { e.assume(now, max(0, e.busy.Load()-1)) }
+func (e *Endpoint) MarkFull(now time.Time) { e.assume(now, max(0, e.busy.Load()-1)) }
 
 // StartRamp starts with one assumed slot on an endpoint that other VMs may have used.
-func (e *Endpoint) Ramp(now time.Time) { e.assume(now, 1) }
+func (e *Endpoint) StartRamp(now time.Time) { e.assume(now, 1) }
 
 func (e *Endpoint) assume(now time.Time, n int32) {
 	e.assumed.Store(n)
--- a/internal/task/place/place_test.go
+++ b/internal/task/place/place_test.go
@@ -49,7 +49,7 @@
 			})
 		}
 		wg.Wait()
-		for _, e := range tab.Mine() {
+		for _, e := range tab.Own() {
 			is.True(e.Busy() <= 8)
 		}
 		_, free := tab.Slots(now)
@@ -62,8 +62,8 @@
 	is := is.New(t)
 	tab := NewTable(Least[*Endpoint]{})
 	tab.Update(now.Add(-time.Minute), infos(2), all)
-	tab.Find(addr(0)).Leave()
-	tab.Find(addr(1)).Full(now)
+	tab.Find(addr(0)).MarkLeaving()
+	tab.Find(addr(1)).MarkFull(now)
 	is.True(tab.Acquire(now, job.Size{}, 0) == nil)
 	is.True(tab.Acquire(now.Add(time.Second), job.Size{Cores: 65}, 0) == nil)
 	is.Equal(tab.Acquire(now.Add(time.Second), job.Size{Cores: 64}, 0).Addr, addr(1))
@@ -84,7 +84,7 @@
 	}
 	is.Equal(count(now), 1)
 	is.Equal(count(now.Add(2*slotRegrowth)), 2)
-	tab.Find(addr(0)).Full(now.Add(2 * slotRegrowth)) // the third was refused
+	tab.Find(addr(0)).MarkFull(now.Add(2 * slotRegrowth)) // the third was refused
 	tab.Find(addr(0)).Release()
 	is.Equal(count(now.Add(2*slotRegrowth)), 0)
 	is.Equal(count(now.Add(3*slotRegrowth)), 1)
--- a/internal/task/place/policy.go
+++ b/internal/task/place/policy.go
@@ -10,7 +10,7 @@
 type Candidate interface {
 	Busy() int
 	Limit() int
-	Slow() int
+	Slowness() int
 }
 
 // Policy picks one of the candidates, all of which have a free slot; the slice
@@ -60,7 +60,7 @@
 
 // cost ranks a candidate by use and slowness, as an integer.
 func cost[E Candidate](e E) int {
-	return (e.Busy() + 1) * 1000 * e.Slow() / max(e.Limit(), 1)
+	return (e.Busy() + 1) * 1000 * e.Slowness() / max(e.Limit(), 1)
 }
 
 // Names of the policies in settings. Homes is Least over the endpoints whose home is
--- a/internal/task/place/table.go
+++ b/internal/task/place/table.go
@@ -58,7 +58,7 @@
 			continue
 		}
 		if !had[in.Addr] {
-			e.Ramp(now)
+			e.StartRamp(now)
 		}
 		next.own = append(next.own, e)
 	}
@@ -69,13 +69,13 @@
 func (t *Table) Find(a netip.AddrPort) *Endpoint { return t.snap.Load().all[a] }
 
 // Own returns the endpoints that this VM may send to; the caller must not modify the slice.
-func (t *Table) Mine() []*Endpoint { return t.snap.Load().own }
+func (t *Table) Own() []*Endpoint { return t.snap.Load().own }
 
 // Known returns the number of listed endpoints.
 func (t *Table) Known() int { return len(t.snap.Load().all) }
 
 // MaxSize returns the largest amount of each resource on any listed endpoint.
-func (t *Table) Most() job.Size { return t.snap.Load().maxSize }
+func (t *Table) MaxSize() job.Size { return t.snap.Load().maxSize }
 
 // Slots returns the number of slots that health allows this VM, and how many are free.
 func (t *Table) Slots(now time.Time) (limit, free int) {
--- a/internal/task/quota/bench_test.go
+++ b/internal/task/quota/bench_test.go
@@ -14,18 +14,18 @@
 	book := New()
 	now := time.Unix(1_700_000_000, 0)
 	limits := map[string]Limit{}
-	use := map[string]frame.Use{}
+	use := map[string]frame.TenantUse{}
 	for i := range 490 {
 		name := fmt.Sprint("team-", i)
 		limits[name] = Limit{Rate: 4000}
-		use[name] = frame.Use{Rate: 10, Slots: 3}
+		use[name] = frame.TenantUse{Rate: 10, Slots: 3}
 	}
-	book.Declare(now, limits)
+	book.SetLimits(now, limits)
 	for i := range 20 {
-		book.Hear(netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(i)}), 1), use)
+		book.SetPeer(netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(i)}), 1), use)
 	}
 	for name := range limits {
-		book.Want(name, 5)
+		book.Arrive(name, 5)
 	}
 	b.ReportAllocs()
 	for range b.N {
--- a/internal/task/quota/book.go
+++ b/internal/task/quota/book.go
@@ -36,11 +36,11 @@
 }
 
 // Limiter enforces one VM's share of all quotas.
-type Book struct {
+type Limiter struct {
 	mu      sync.Mutex
 	limits  map[string]Limit
 	tenants map[string]*share
-	peers   map[netip.AddrPort]map[string]frame.Use
+	peers   map[netip.AddrPort]map[string]frame.TenantUse
 }
 
 type share struct {
@@ -57,12 +57,12 @@
 }
 
 // New returns a limiter without limits.
-func New() *Book {
-	return &Book{limits: map[string]Limit{}, tenants: map[string]*share{}, peers: map[netip.AddrPort]map[string]frame.Use{}}
+func New() *Limiter {
+	return &Limiter{limits: map[string]Limit{}, tenants: map[string]*share{}, peers: map[netip.AddrPort]map[string]frame.TenantUse{}}
 }
 
 // SetLimits replaces all limits by those of the configuration document.
-func (lim *Book) Declare(now time.Time, limits map[string]Limit) {
+func (lim *Limiter) SetLimits(now time.Time, limits map[string]Limit) {
 	lim.mu.Lock()
 	defer lim.mu.Unlock()
 	lim.limits = map[string]Limit{}
@@ -75,7 +75,7 @@
 	lim.updateShares(now)
 }
 
-func (lim *Book) get(tenant string) *share {
+func (lim *Limiter) get(tenant string) *share {
 	s := lim.tenants[tenant]
 	if s == nil {
 		s = &share{}
@@ -85,7 +85,7 @@
 }
 
 // Arrive records n tasks of a tenant that arrived at this VM.
-func (lim *Book) Want(tenant string, n int) {
+func (lim *Limiter) Arrive(tenant string, n int) {
 	lim.mu.Lock()
 	defer lim.mu.Unlock()
 	if _, ok := lim.limits[tenant]; ok {
@@ -96,7 +96,7 @@
 }
 
 // Drop removes n waiting tasks that left without a start.
-func (lim *Book) Drop(tenant string, n int) {
+func (lim *Limiter) Drop(tenant string, n int) {
 	lim.mu.Lock()
 	defer lim.mu.Unlock()
 	if s := lim.tenants[tenant]; s != nil {
@@ -105,7 +105,7 @@
 }
 
 // MayStart reports whether a task of the tenant may start now; it reserves nothing.
-func (lim *Book) Open(now time.Time, tenant string) bool {
+func (lim *Limiter) MayStart(now time.Time, tenant string) bool {
 	lim.mu.Lock()
 	defer lim.mu.Unlock()
 	l, ok := lim.limits[tenant]
@@ -121,7 +121,7 @@
 }
 
 // Start uses one start and one slot.
-func (lim *Book) Start(now time.Time, tenant string) {
+func (lim *Limiter) Start(now time.Time, tenant string) {
 	lim.mu.Lock()
 	defer lim.mu.Unlock()
 	if _, ok := lim.limits[tenant]; !ok {
@@ -136,7 +136,7 @@
 
 // End releases the slot. If unused is set, the task provably did not start: it waits
 // again and its start is returned too.
-func (lim *Book) End(tenant string, unused bool) {
+func (lim *Limiter) End(tenant string, unused bool) {
 	lim.mu.Lock()
 	defer lim.mu.Unlock()
 	s := lim.tenants[tenant]
@@ -160,7 +160,7 @@
 }
 
 // SetPeer replaces what a peer reported about its tenants' use.
-func (lim *Book) Hear(vm netip.AddrPort, use map[string]frame.Use) {
+func (lim *Limiter) SetPeer(vm netip.AddrPort, use map[string]frame.TenantUse) {
 	lim.mu.Lock()
 	defer lim.mu.Unlock()
 	lim.peers[vm] = use
@@ -169,7 +169,7 @@
 // RemovePeer drops a peer that failed or left. A VM without peers uses the whole quota:
 // a failure domain that is cut off may do so, since each domain must be able to carry the
 // service alone. docs/notes/quotas.md states the cost.
-func (lim *Book) Forget(vm netip.AddrPort) {
+func (lim *Limiter) RemovePeer(vm netip.AddrPort) {
 	lim.mu.Lock()
 	defer lim.mu.Unlock()
 	delete(lim.peers, vm)
@@ -177,11 +177,11 @@
 
 // Tick updates demands and shares; call it with each heartbeat, period apart. It
 // returns the use to report to the peers.
-func (lim *Book) Tick(now time.Time, period time.Duration) map[string]frame.Use {
+func (lim *Limiter) Tick(now time.Time, period time.Duration) map[string]frame.TenantUse {
 	lim.mu.Lock()
 	defer lim.mu.Unlock()
 	w := 1 - math.Exp(-period.Seconds()/demandWindow.Seconds())
-	out := map[string]frame.Use{}
+	out := map[string]frame.TenantUse{}
 	for name, s := range lim.tenants {
 		s.demand += w * (s.arrived/period.Seconds() - s.demand)
 		s.arrived = 0
@@ -189,7 +189,7 @@
 		s.past[s.nextPast] = want
 		s.nextPast = (s.nextPast + 1) % riseTicks
 		if want > 0.01 || s.held > 0 {
-			out[name] = frame.Use{Rate: want, Slots: s.held + s.waiting}
+			out[name] = frame.TenantUse{Rate: want, Slots: s.held + s.waiting}
 		}
 	}
 	lim.updateShares(now)
@@ -197,7 +197,7 @@
 }
 
 // updateShares computes what this VM may use; the caller holds the lock.
-func (lim *Book) updateShares(now time.Time) {
+func (lim *Limiter) updateShares(now time.Time) {
 	for name, l := range lim.limits {
 		s := lim.get(name)
 		s.refill(now)
@@ -236,7 +236,7 @@
 }
 
 // Limited reports whether any tenant has a quota.
-func (lim *Book) Limited() bool {
+func (lim *Limiter) Limited() bool {
 	lim.mu.Lock()
 	defer lim.mu.Unlock()
 	return len(lim.limits) > 0
--- a/internal/task/quota/book_test.go
+++ b/internal/task/quota/book_test.go
@@ -36,15 +36,15 @@
 func TestStartsFollowTheRate(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	b := New()
-	b.Declare(now, map[string]Limit{"crew": {Rate: 100}})
+	b.SetLimits(now, map[string]Limit{"crew": {Rate: 100}})
 	starts := 0
-	b.Want("crew", 10_000)
+	b.Arrive("crew", 10_000)
 	for ms := range 10_000 {
 		now = now.Add(time.Millisecond)
 		if ms%100 == 0 {
 			b.Tick(now, 100*time.Millisecond)
 		}
-		for b.Open(now, "crew") {
+		for b.MayStart(now, "crew") {
 			b.Start(now, "crew")
 			starts++
 		}
@@ -52,7 +52,7 @@
 	if starts < 950 || starts > 1050 {
 		t.Errorf("%d starts in 10 s at 100 a second", starts)
 	}
-	if !b.Open(now, "relief") {
+	if !b.MayStart(now, "relief") {
 		t.Error("a tenant without a quota may not start")
 	}
 }
--- a/internal/task/route/route.go
+++ b/internal/task/route/route.go
@@ -16,7 +16,7 @@
 const (
 	// MaxTries is how many owners are tried before a caller is refused: each costs a
 	// round trip.
-	Tries = 4
+	MaxTries = 4
 	// A load report expires at the age of staleFactor times the report interval, but
 	// not before minStale.
 	minStale    = 400 * time.Millisecond
@@ -27,14 +27,14 @@
 
 // Load is an owner's latest load report.
 type Load struct {
-	At    time.Time
-	Free  float64       // cores free for jobs
-	Total float64       // cores usable for jobs
-	Ahead [3]float64    // core-seconds queued before a new job, by its rank
-	Lag   time.Duration // latency of an order sent by that owner
-	Near  bool          // in this VM's failure domain, or this VM itself
-	Next  time.Duration // time until the next report
-	sent  float64       // cores of jobs sent there since the report
+	At           time.Time
+	Free         float64       // cores free for jobs
+	Total        float64       // cores usable for jobs
+	Ahead        [3]float64    // core-seconds queued before a new job, by its rank
+	OrderLatency time.Duration // latency of an order sent by that owner
+	Near         bool          // in this VM's failure domain, or this VM itself
+	NextReport   time.Duration // time until the next report
+	sent         float64       // cores of jobs sent there since the report
 }
 
 // unreachableFor is how long an unreachable owner is skipped, even if its reports still
@@ -55,17 +55,17 @@
 }
 
 // MarkUnreachable records that an owner could not be reached.
-func (t *Table) Down(vm netip.AddrPort, now time.Time) { t.unreachable[vm] = now }
+func (t *Table) MarkUnreachable(vm netip.AddrPort, now time.Time) { t.unreachable[vm] = now }
 
 // usable reports whether a job may be sent to an owner.
 func (t *Table) usable(vm netip.AddrPort, l *Load, now time.Time) bool {
 	at, unreachable := t.unreachable[vm]
-	maxAge := max(minStale, time.Duration(staleFactor*float64(l.Next)))
+	maxAge := max(minStale, time.Duration(staleFactor*float64(l.NextReport)))
 	return now.Sub(l.At) <= maxAge && (!unreachable || now.Sub(at) > unreachableFor)
 }
 
 // Update applies an owner's load report; an owner without cores is removed.
-func (t *Table) Hear(vm netip.AddrPort, l Load) {
+func (t *Table) Update(vm netip.AddrPort, l Load) {
 	if l.Total <= 0 {
 		delete(t.all, vm)
 		return
@@ -77,7 +77,7 @@
 func (t *Table) Forget(vm netip.AddrPort) { delete(t.all, vm) }
 
 // RecordSent counts the cores of a job sent to an owner.
-func (t *Table) Sent(vm netip.AddrPort, cores float64) {
+func (t *Table) RecordSent(vm netip.AddrPort, cores float64) {
 	if l := t.all[vm]; l != nil {
 		l.sent += cores
 	}
@@ -99,7 +99,7 @@
 		if slices.Contains(tried, vm) || !t.usable(vm, l, now) {
 			continue
 		}
-		w := l.wait(rank, cores) + max(0, l.Lag-allowed)
+		w := l.wait(rank, cores) + max(0, l.OrderLatency-allowed)
 		if vm != t.self {
 			w += handoffCost
 		}
@@ -128,7 +128,7 @@
 	t.latencies = t.latencies[:0]
 	for vm, l := range t.all {
 		if t.usable(vm, l, now) {
-			t.latencies = append(t.latencies, l.Lag)
+			t.latencies = append(t.latencies, l.OrderLatency)
 		}
 	}
 	if len(t.latencies) == 0 {
--- a/internal/task/route/route_test.go
+++ b/internal/task/route/route_test.go
@@ -19,12 +19,12 @@
 func TestJobsSpreadBetweenLoadReports(t *testing.T) {
 	is := is.New(t)
 	tab := New(netip.AddrPort{})
-	tab.Hear(a, Load{At: t0, Free: 900, Total: 900, Near: true})
-	tab.Hear(b, Load{At: t0, Free: 900, Total: 900})
+	tab.Update(a, Load{At: t0, Free: 900, Total: 900, Near: true})
+	tab.Update(b, Load{At: t0, Free: 900, Total: 900})
 	got := map[netip.AddrPort]int{}
 	for range 20 {
 		vm := tab.Pick(t0, 1, 54, nil, 0)
-		tab.Sent(vm, 54)
+		tab.RecordSent(vm, 54)
 		got[vm]++
 	}
 	is.True(got[a] <= 16 && got[b] >= 4) // the near pool fits 16 of them
@@ -33,14 +33,14 @@
 func TestFullPoolsRankByQueuedWork(t *testing.T) {
 	is := is.New(t)
 	tab := New(netip.AddrPort{})
-	tab.Hear(a, Load{At: t0, Total: 900, Ahead: [3]float64{0, 100, 300}, Near: true})
-	tab.Hear(b, Load{At: t0, Total: 900, Ahead: [3]float64{50, 60, 70}})
+	tab.Update(a, Load{At: t0, Total: 900, Ahead: [3]float64{0, 100, 300}, Near: true})
+	tab.Update(b, Load{At: t0, Total: 900, Ahead: [3]float64{50, 60, 70}})
 	is.Equal(tab.Pick(t0, 0, 216, nil, 0), a) // no urgent work waits there
 	is.Equal(tab.Pick(t0, 2, 108, nil, 0), b)
 	is.Equal(tab.Pick(t0, 2, 108, []netip.AddrPort{b}, 0), a)
 	is.True(!tab.Pick(t0.Add(2*minStale), 0, 1, nil, 0).IsValid()) // the reports have expired
 	is.Equal(tab.Known(t0), 2)
-	tab.Hear(a, Load{}) // it owns no endpoints any more
+	tab.Update(a, Load{}) // it owns no endpoints any more
 	is.Equal(tab.Known(t0), 1)
 }
 
@@ -49,12 +49,12 @@
 func TestUnreachableOwnerIsSkipped(t *testing.T) {
 	is := is.New(t)
 	tab := New(netip.AddrPort{})
-	tab.Hear(a, Load{At: t0, Free: 900, Total: 900})
-	tab.Down(a, t0)
-	tab.Hear(a, Load{At: t0.Add(100 * time.Millisecond), Free: 900, Total: 900})
+	tab.Update(a, Load{At: t0, Free: 900, Total: 900})
+	tab.MarkUnreachable(a, t0)
+	tab.Update(a, Load{At: t0.Add(100 * time.Millisecond), Free: 900, Total: 900})
 	is.Equal(tab.Known(t0.Add(100*time.Millisecond)), 0)
 	is.True(!tab.Pick(t0.Add(100*time.Millisecond), 0, 1, nil, 0).IsValid())
-	tab.Hear(a, Load{At: t0.Add(2 * unreachableFor), Free: 900, Total: 900})
+	tab.Update(a, Load{At: t0.Add(2 * unreachableFor), Free: 900, Total: 900})
 	is.Equal(tab.Pick(t0.Add(2*unreachableFor), 0, 1, nil, 0), a)
 }
 
@@ -67,7 +67,7 @@
 	hear := func(lags ...int) *Table {
 		tab := New(netip.AddrPort{})
 		for i, lag := range lags {
-			tab.Hear(vms[i], Load{At: t0, Free: 900 - float64(i), Total: 900, Near: true, Lag: time.Duration(lag) * time.Millisecond})
+			tab.Update(vms[i], Load{At: t0, Free: 900 - float64(i), Total: 900, Near: true, OrderLatency: time.Duration(lag) * time.Millisecond})
 		}
 		return tab
 	}
@@ -82,10 +82,10 @@
 func TestOwnEndpointsArePreferredWhenHandoffIsSlow(t *testing.T) {
 	is := is.New(t)
 	tab := New(a)
-	tab.Hear(a, Load{At: t0, Free: 500, Total: 900, Near: true})
-	tab.Hear(b, Load{At: t0, Free: 800, Total: 900, Near: true})
+	tab.Update(a, Load{At: t0, Free: 500, Total: 900, Near: true})
+	tab.Update(b, Load{At: t0, Free: 800, Total: 900, Near: true})
 	is.Equal(tab.Pick(t0, 1, 54, nil, minLatency), b) // order latency is minimal
 	is.Equal(tab.Pick(t0, 1, 54, nil, 20*time.Millisecond), a)
-	tab.Hear(a, Load{At: t0, Free: 0, Total: 900, Ahead: [3]float64{0, 90, 90}, Near: true})
+	tab.Update(a, Load{At: t0, Free: 0, Total: 900, Ahead: [3]float64{0, 90, 90}, Near: true})
 	is.Equal(tab.Pick(t0, 1, 54, nil, 20*time.Millisecond), b) // 100 ms in the queue cost more than the handoff
 }
--- a/internal/task/ticket/bench_test.go
+++ b/internal/task/ticket/bench_test.go
@@ -9,7 +9,7 @@
 // BenchmarkUse issues, uses and ends one ticket; its bytes are the memory held for a
 // used ticket until its term is over.
 func BenchmarkUse(b *testing.B) {
-	book := NewBook(self, 1, []byte("s"), Limits{Term: 1 << 40, Uses: 1 << 30, Bytes: 1 << 40})
+	book := NewStore(self, 1, []byte("s"), Limits{Term: 1 << 40, Uses: 1 << 30, Bytes: 1 << 40})
 	a := &job.Answer{Outcome: job.Done}
 	b.ReportAllocs()
 	for range b.N {
--- a/internal/task/ticket/book.go
+++ b/internal/task/ticket/book.go
@@ -52,7 +52,7 @@
 // time: an endpoint would see two starts for one ticket. So the store forgets a ticket
 // only after its term, and keeps the lowest sequence number that it still remembers
 // as floor: below it no ticket is Fresh, even if the clock steps back.
-type Book struct {
+type Store struct {
 	mu     sync.Mutex
 	self   netip.AddrPort
 	inc    uint64
@@ -70,12 +70,12 @@
 var ErrFull = errors.New("too many tickets outstanding")
 
 // NewStore returns the store of one incarnation; secret must be random for each process.
-func NewBook(self netip.AddrPort, inc uint64, secret []byte, limits Limits) *Book {
-	return &Book{self: self, inc: inc, secret: secret, limits: limits, uses: map[uint64]*Use{}}
+func NewStore(self netip.AddrPort, inc uint64, secret []byte, limits Limits) *Store {
+	return &Store{self: self, inc: inc, secret: secret, limits: limits, uses: map[uint64]*Use{}}
 }
 
 // Issue grants n tickets to a tenant.
-func (s *Book) Issue(now time.Time, tenant string, n int) (string, error) {
+func (s *Store) Issue(now time.Time, tenant string, n int) (string, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.purge(now)
@@ -98,7 +98,7 @@
 // Claim checks a ticket and marks it as used. After Fresh the caller owns the use and
 // must call End. digest identifies the request: a ticket must not get the answer to a
 // different request.
-func (s *Book) Claim(now time.Time, t Ticket, tenant string, digest uint64) (*Use, Verdict) {
+func (s *Store) Claim(now time.Time, t Ticket, tenant string, digest uint64) (*Use, Verdict) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if v, ok := s.verify(t, tenant); !ok {
@@ -127,7 +127,7 @@
 // A copy of the submission may still be in transit. If the query only read the state,
 // the caller would get "not run" and the copy would start afterwards. So the query uses
 // up a fresh ticket, with a refusal as its answer.
-func (s *Book) Void(now time.Time, t Ticket, tenant string) (*Use, Verdict) {
+func (s *Store) Void(now time.Time, t Ticket, tenant string) (*Use, Verdict) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if v, ok := s.verify(t, tenant); !ok {
@@ -150,7 +150,7 @@
 	return u, Fresh
 }
 
-func (s *Book) verify(t Ticket, tenant string) (Verdict, bool) {
+func (s *Store) verify(t Ticket, tenant string) (Verdict, bool) {
 	if t.VM != s.self || t.Inc != s.inc {
 		return Elsewhere, false
 	}
@@ -160,7 +160,7 @@
 	return Fresh, true
 }
 
-func (s *Book) useState(now time.Time, u *Use) Verdict {
+func (s *Store) useState(now time.Time, u *Use) Verdict {
 	select {
 	case <-u.done:
 	default:
@@ -177,7 +177,7 @@
 }
 
 // End stores the answer of a use for the hold time of its class.
-func (s *Book) End(now time.Time, t Ticket, u *Use, a *job.Answer, hold time.Duration) {
+func (s *Store) End(now time.Time, t Ticket, u *Use, a *job.Answer, hold time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	u.answer, u.outcome, u.ended, u.holdFor = a, a.Outcome, now, hold
@@ -194,27 +194,27 @@
 }
 
 // Answer returns the answer of an ended use, or nil if it is not held.
-func (s *Book) Answer(u *Use) *job.Answer {
+func (s *Store) Answer(u *Use) *job.Answer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return u.answer
 }
 
 // Outcome returns the outcome of an ended use, even if the answer is no longer held.
-func (s *Book) Outcome(u *Use) job.Outcome {
+func (s *Store) Outcome(u *Use) job.Outcome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return u.outcome
 }
 
 // Uses returns the number of used tickets that are remembered.
-func (s *Book) Uses() int {
+func (s *Store) Uses() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.uses)
 }
 
-func (s *Book) dropAnswer(seq uint64) {
+func (s *Store) dropAnswer(seq uint64) {
 	if u := s.uses[seq]; u != nil && u.answer != nil {
 		s.bytes -= answerBytes(u.answer)
 		u.answer = nil
@@ -222,7 +222,7 @@
 }
 
 // purge forgets the grants whose term is over, with their uses and answers.
-func (s *Book) purge(now time.Time) {
+func (s *Store) purge(now time.Time) {
 	for len(s.grants) > 0 && now.After(s.grants[0].Ends) {
 		g := s.grants[0]
 		s.grants = s.grants[1:]
--- a/internal/task/ticket/book_test.go
+++ b/internal/task/ticket/book_test.go
@@ -18,9 +18,9 @@
 	wide  = Limits{Term: time.Minute, Uses: 1000, Bytes: 1 << 20}
 )
 
-func open(t testing.TB, inc uint64, limits Limits) *Book {
+func open(t testing.TB, inc uint64, limits Limits) *Store {
 	t.Helper()
-	return NewBook(self, inc, []byte{byte(inc), 2, 3}, limits)
+	return NewStore(self, inc, []byte{byte(inc), 2, 3}, limits)
 }
 
 func mustPick(t testing.TB, grant string, nth int) Ticket {
@@ -142,7 +142,7 @@
 	is.NoErr(err)
 	_, v := b.Claim(began, mustPick(t, g, 0), "quokka", 1)
 	is.Equal(v, Forged)
-	other := NewBook(self, 1, []byte("another secret"), wide)
+	other := NewStore(self, 1, []byte("another secret"), wide)
 	_, v = other.Claim(began, mustPick(t, g, 0), "prairie", 1)
 	is.Equal(v, Forged)
 	_, v = open(t, 2, wide).Claim(began, mustPick(t, g, 0), "prairie", 1)
@@ -154,7 +154,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	b := NewBook(self, 1, []byte("s"), wide)
+	b := NewStore(self, 1, []byte("s"), wide)
 	g, err := b.Issue(began, "prairie", 3)
 	if err != nil {
 		f.Fatal(err)
@@ -166,7 +166,7 @@
 		if err != nil {
 			return
 		}
-		if _, v := NewBook(self, 1, []byte("other"), wide).Claim(began, tk, tk.Tenant, 1); v == Fresh {
+		if _, v := NewStore(self, 1, []byte("other"), wide).Claim(began, tk, tk.Tenant, 1); v == Fresh {
 			t.Fatalf("a ticket sealed with another secret is fresh: %q", text)
 		}
 	})
--- a/internal/task/ticket/held_test.go
+++ b/internal/task/ticket/held_test.go
@@ -19,7 +19,7 @@
 	}
 	for range b.N {
 		before := live()
-		book := NewBook(self, 1, []byte("s"), Limits{Term: 1 << 40, Uses: 1 << 30, Bytes: 1 << 40})
+		book := NewStore(self, 1, []byte("s"), Limits{Term: 1 << 40, Uses: 1 << 30, Bytes: 1 << 40})
 		g, err := book.Issue(began, "crew", uses)
 		if err != nil {
 			b.Fatal(err)
--- a/internal/task/tries/attempt.go
+++ b/internal/task/tries/attempt.go
@@ -32,8 +32,8 @@
 	Send       Event = iota // the task is about to be sent
 	Refuse                  // the endpoint reported that the task did not start
 	Answer                  // the endpoint reported the result
-	Lose                    // the connection broke or timed out after the send
-	Balk                    // nothing could be sent
+	Disconnect              // the connection broke or timed out after the send
+	SendFailed              // nothing could be sent
 	eventCount = 5
 )
 
@@ -48,11 +48,11 @@
 // An answer in state Silent doesn't change it: the job was abandoned when the attempt
 // went silent, and using the late answer could return a partial result.
 var transitions = [stateCount][eventCount]State{
-	Unsent:   {Send: Sent, Refuse: invalid, Answer: invalid, Lose: invalid, Balk: Unsent},
-	Sent:     {Send: invalid, Refuse: Refused, Answer: Answered, Lose: Silent, Balk: invalid},
-	Refused:  {Send: invalid, Refuse: invalid, Answer: invalid, Lose: Refused, Balk: invalid},
-	Answered: {Send: invalid, Refuse: invalid, Answer: invalid, Lose: Answered, Balk: invalid},
-	Silent:   {Send: invalid, Refuse: Silent, Answer: Silent, Lose: Silent, Balk: invalid},
+	Unsent:   {Send: Sent, Refuse: invalid, Answer: invalid, Disconnect: invalid, SendFailed: Unsent},
+	Sent:     {Send: invalid, Refuse: Refused, Answer: Answered, Disconnect: Silent, SendFailed: invalid},
+	Refused:  {Send: invalid, Refuse: invalid, Answer: invalid, Disconnect: Refused, SendFailed: invalid},
+	Answered: {Send: invalid, Refuse: invalid, Answer: invalid, Disconnect: Answered, SendFailed: invalid},
+	Silent:   {Send: invalid, Refuse: Silent, Answer: Silent, Disconnect: Silent, SendFailed: invalid},
 }
 
 // ErrTransition is returned for an event that can't happen in a state.
--- a/internal/task/tries/attempt_test.go
+++ b/internal/task/tries/attempt_test.go
@@ -38,7 +38,7 @@
 	is := is.New(t)
 	var a Attempt
 	is.NoErr(a.On(Send))
-	is.NoErr(a.On(Lose))
+	is.NoErr(a.On(Disconnect))
 	is.NoErr(a.On(Answer))
 	is.Equal(a.State(), Silent)
 	is.True(!a.MayRetry())
--- a/internal/tool/bench/control.go
+++ b/internal/tool/bench/control.go
@@ -44,7 +44,7 @@
 }
 
 // Cast implements flow.Mesh.
-func (s *sink) Cast(_ netip.AddrPort, m frame.Msg) error {
+func (s *sink) Send(_ netip.AddrPort, m frame.Msg) error {
 	data, err := frame.Append(nil, m)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -54,18 +54,18 @@
 }
 
 // Reach implements flow.Mesh.
-func (*sink) Reach(context.Context, netip.AddrPort) (uint64, error) { return 0, flow.ErrNoLink }
+func (*sink) Connect(context.Context, netip.AddrPort) (uint64, error) { return 0, flow.ErrNoLink }
 
 // idleRunner runs no tasks; its endpoints answer every probe.
 type idleRunner struct{}
 
 // Run implements flow.Runner.
 func (idleRunner) Run(context.Context, netip.AddrPort, flow.Exchange) flow.Result {
-	return flow.Result{Ending: flow.Unsent}
+	return flow.Result{Status: flow.Unsent}
 }
 
 // Ask implements flow.Runner.
-func (idleRunner) Ask(context.Context, netip.AddrPort) (bool, error) { return false, nil }
+func (idleRunner) Probe(context.Context, netip.AddrPort) (bool, error) { return false, nil }
 
 // controlSpan is the length of the measurement of each size.
 const controlSpan = 4 * time.Second
@@ -85,8 +85,8 @@
 	timers := timer.New(timer.Wall{})
 	n, err := flow.New(ctx, flow.Config{
 		Self: addrs[0], Domain: "fd-0", Inc: 1, Secret: []byte("s"), Policy: place.Homes, Memory: flow.DefaultMemory,
-		Term: flow.DefaultTerm, Tickets: flow.DefaultTickets, Retries: flow.DefaultRetries, Spill: true, Foresight: true,
-	}, flow.Parts{Timers: timers, Runner: idleRunner{}, Mesh: out, Meter: meter.New(), Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
+		TicketTerm: flow.DefaultTicketTerm, MaxTickets: flow.DefaultMaxTickets, RetryRatio: flow.DefaultRetryRatio, Spill: true, EarlyReject: true,
+	}, flow.Deps{Timers: timers, Runner: idleRunner{}, Mesh: out, Meter: meter.New(), Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	if err != nil {
 		return c, fmt.Errorf("measure control: %w", err)
 	}
@@ -101,7 +101,7 @@
 		}
 		list.Endpoints = append(list.Endpoints, roster.Endpoint{Info: place.Info{Addr: a, Domain: d, Slots: 8}})
 	}
-	n.Learn(list)
+	n.UpdateRoster(list)
 	text, err := mix.Document().Encode()
 	if err != nil {
 		return c, fmt.Errorf("measure control: %w", err)
@@ -158,7 +158,7 @@
 		switch {
 		case v.Domain == "fd-0":
 			near = append(near, h)
-		case picked[v.Mesh] || len(far) < 2*view.FarLinks:
+		case picked[v.Mesh] || len(far) < 2*view.RemoteLinks:
 			far = append(far, h) // about as many peers choose this VM as it chooses
 		}
 	}
@@ -173,7 +173,7 @@
 			case <-t.C:
 			}
 			for _, h := range list {
-				data, err := frame.Append(nil, &frame.Beat{At: time.Now(), Room: frame.Room{Free: 9, Urgent: 12}, Rev: 7, Asof: 99})
+				data, err := frame.Append(nil, &frame.Heartbeat{At: time.Now(), Room: frame.Room{Free: 9, Urgent: 12}, Rev: 7, Asof: 99})
 				if err != nil {
 					return
 				}
@@ -190,7 +190,7 @@
 		}
 	}
 	go send(near, view.Period)
-	go send(far, view.Far*view.Period)
+	go send(far, view.RemoteFactor*view.Period)
 	return in
 }
 
@@ -198,7 +198,7 @@
 // read it at the other end. A daemon has the cost of only one end per message.
 func messageCost() (time.Duration, error) {
 	const messages = 20_000
-	data, err := frame.Append(nil, &frame.Beat{At: time.Now()})
+	data, err := frame.Append(nil, &frame.Heartbeat{At: time.Now()})
 	if err != nil {
 		return 0, fmt.Errorf("measure message: %w", err)
 	}
--- a/internal/tool/bench/wire.go
+++ b/internal/tool/bench/wire.go
@@ -58,7 +58,7 @@
 // MeasureWire runs jobs of empty tasks through one entry VM, then the same
 // exchanges through a bare client and server.
 func MeasureWire(ctx context.Context) (w Wire, err error) {
-	shape := local.Brief()
+	shape := local.DefaultShape()
 	shape.Domains, shape.VMs, shape.Endpoints, shape.Slots = 1, 1, wireEndpoints, wireSlots
 	d, err := local.Start(ctx, shape, noWitness{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
--- a/internal/tool/grid/calm_test.go
+++ b/internal/tool/grid/calm_test.go
@@ -13,7 +13,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		g = Run(set)
-		for i, b := range g.Judge.Broken() {
+		for i, b := range g.Judge.Violations() {
 			if i < 10 {
 				t.Error(b)
 			}
--- a/internal/tool/grid/claim_test.go
+++ b/internal/tool/grid/claim_test.go
@@ -20,7 +20,7 @@
 	for seed := range uint64(numSeeds) {
 		set := withFault(func(g *Grid) {
 			for n := range 16 {
-				g.Endpoint(3 * n).Set(fakes.Manners{Fail: true})
+				g.Endpoint(3 * n).Set(fakes.Behavior{Fail: true})
 			}
 		})
 		set.Seed = seed + 1
--- a/internal/tool/grid/crash_test.go
+++ b/internal/tool/grid/crash_test.go
@@ -22,7 +22,7 @@
 		for wave := range flapWaves {
 			for n := range g.Endpoints {
 				if e := g.Endpoint(n); quarter(n) == wave && e.Crash() {
-					e.Set(fakes.Manners{Mute: true})
+					e.Set(fakes.Behavior{Silent: true})
 					g.replaceEndpoint(e)
 				}
 			}
@@ -36,13 +36,13 @@
 func muteRepeatedly(g *Grid) {
 	const silent = 1400 * time.Millisecond // until leases have expired
 	for range flapWaves {
-		for _, m := range []fakes.Manners{{Mute: true}, {}} {
+		for _, m := range []fakes.Behavior{{Silent: true}, {}} {
 			for n := range g.Endpoints {
 				if acrossDomains(n) == 0 {
 					g.Endpoint(n).Set(m)
 				}
 			}
-			if m.Mute {
+			if m.Silent {
 				time.Sleep(silent)
 			}
 		}
--- a/internal/tool/grid/fault.go
+++ b/internal/tool/grid/fault.go
@@ -97,8 +97,8 @@
 		}
 	}},
 	{"manners", func(r *rand.Rand) func(*Grid) {
-		m := []fakes.Manners{
-			{Slow: 6}, {Fail: true}, {Hang: true}, {Mute: true}, {Ill: true},
+		m := []fakes.Behavior{
+			{Slow: 6}, {Fail: true}, {Hang: true}, {Silent: true}, {Ill: true},
 			{Late: 0.1, Delay: time.Duration(2+r.IntN(4)) * time.Second}, {Late: 0.4, Delay: time.Duration(200+r.IntN(2000)) * time.Millisecond},
 		}[r.IntN(7)]
 		from, n, d := r.IntN(40), 1+r.IntN(8), time.Duration(500+r.IntN(5000))*time.Millisecond
@@ -108,7 +108,7 @@
 			}
 			time.Sleep(d)
 			for i := range n {
-				g.Endpoint(from + i).Set(fakes.Manners{})
+				g.Endpoint(from + i).Set(fakes.Behavior{})
 			}
 		}
 	}},
--- a/internal/tool/grid/fault_test.go
+++ b/internal/tool/grid/fault_test.go
@@ -182,7 +182,7 @@
 			is := is.New(t)
 			g := simulate(t, withFault(func(g *Grid) {
 				for i := range g.Endpoints {
-					g.Endpoint(i).Set(fakes.Manners{Late: c.lost, Delay: 3 * time.Second})
+					g.Endpoint(i).Set(fakes.Behavior{Late: c.lost, Delay: 3 * time.Second})
 				}
 			}))
 			logPerKind(t, g, faultAt, faultAt+8*time.Second)
@@ -197,14 +197,14 @@
 	t.Parallel()
 	for _, c := range []struct {
 		name    string
-		manners fakes.Manners
+		manners fakes.Behavior
 		share   float64
 	}{
-		{"fail", fakes.Manners{Fail: true}, 0.93},
-		{"hang", fakes.Manners{Hang: true}, 0.9},
-		{"mute", fakes.Manners{Mute: true}, 0.93},
-		{"slow", fakes.Manners{Slow: 7}, 0.91}, // earned 0.91 if fifteen runs detect a straggler, 0.94 if four do
-		{"ill", fakes.Manners{Ill: true}, 0.95},
+		{"fail", fakes.Behavior{Fail: true}, 0.93},
+		{"hang", fakes.Behavior{Hang: true}, 0.9},
+		{"mute", fakes.Behavior{Silent: true}, 0.93},
+		{"slow", fakes.Behavior{Slow: 7}, 0.91}, // earned 0.91 if fifteen runs detect a straggler, 0.94 if four do
+		{"ill", fakes.Behavior{Ill: true}, 0.95},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -214,7 +214,7 @@
 				}
 				time.Sleep(6 * time.Second)
 				for i := range 5 {
-					g.Endpoint(9 * i).Set(fakes.Manners{})
+					g.Endpoint(9 * i).Set(fakes.Behavior{})
 				}
 			}))
 			logPerKind(t, g, faultAt, faultAt+6*time.Second)
@@ -234,11 +234,11 @@
 	for seed := range uint64(numSeeds) {
 		set := withFault(func(g *Grid) {
 			for i := range 8 {
-				g.Endpoint(6 * i).Set(fakes.Manners{Slow: 6.5})
+				g.Endpoint(6 * i).Set(fakes.Behavior{Slow: 6.5})
 			}
 			time.Sleep(span)
 			for i := range 8 {
-				g.Endpoint(6 * i).Set(fakes.Manners{})
+				g.Endpoint(6 * i).Set(fakes.Behavior{})
 			}
 		})
 		set.Seed = seed + 1
@@ -259,7 +259,7 @@
 	var running []int
 	set := withFault(func(g *Grid) {
 		for i := range 16 {
-			g.Endpoint(3 * i).Set(fakes.Manners{Late: 0.5, Delay: 3 * time.Second})
+			g.Endpoint(3 * i).Set(fakes.Behavior{Late: 0.5, Delay: 3 * time.Second})
 		}
 		time.Sleep(500 * time.Millisecond)
 		for i := range g.VMs {
--- a/internal/tool/grid/grid.go
+++ b/internal/tool/grid/grid.go
@@ -62,7 +62,7 @@
 }
 
 // Limits are the time limits of the endpoints.
-var Limits = lease.Limits{Hold: time.Second, Stop: 50 * time.Millisecond, Resend: resubmitAfter, Notice: hangup.Notice}
+var Limits = lease.Limits{Hold: time.Second, Stop: 50 * time.Millisecond, Resend: resubmitAfter, Notice: hangup.CloseDelay}
 
 // UserSetup returns the users' deployment: 8 VMs, 48 endpoints of 64 or 96 cores, and three kinds
 // of job that fill 70 % of them at a load of 140 jobs per second.
@@ -200,7 +200,7 @@
 	}
 	log := slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: slog.LevelInfo})).With("vm", at)
 	timers := timer.New(v.clock)
-	v.Node = serve.NewNode(ctx, serve.Config{VM: at, Domain: domain, Inc: v.Inc, Limits: Limits, Far: 2}, serve.Parts{
+	v.Node = serve.NewNode(ctx, serve.Config{VM: at, Domain: domain, Inc: v.Inc, Limits: Limits, RemoteFactor: 2}, serve.Parts{
 		Platform: serve.Platform{
 			Agent: &vmAgent{g, v}, Plans: &vmTopic[plan.Decl]{g.Plans, g, v, &g.OtherReads}, Endpoints: &vmTopic[lease.Info]{g.Roster, g, v, &g.EndpointReads},
 			VMs: &registry{vmTopic[serve.VM]{g.Registry, g, v, &g.OtherReads}}, Presence: &presence{vmTopic[serve.Probe]{g.Probes, g, v, &g.OtherReads}},
--- a/internal/tool/grid/judge.go
+++ b/internal/tool/grid/judge.go
@@ -66,7 +66,7 @@
 func jobOf(task string) string { id, _, _ := strings.Cut(task, "."); return id }
 
 // Began implements fakes.Board.
-func (j *Judge) Began(at time.Time, ep, task string, num int) {
+func (j *Judge) RunStarted(at time.Time, ep, task string, num int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if from, ok := j.cordonedAt[ep]; ok && at.After(from) {
@@ -96,7 +96,7 @@
 }
 
 // Over implements fakes.Board.
-func (j *Judge) Over(at time.Time, ep, task string, num int, how lease.How) {
+func (j *Judge) RunEnded(at time.Time, ep, task string, num int, how lease.EndState) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.checkOutlived(at, ep, task, num)
@@ -171,7 +171,7 @@
 }
 
 // CordonFrom sets the time from which an endpoint may start nothing; zero lifts the cordon.
-func (j *Judge) Shut(ep string, from time.Time) {
+func (j *Judge) CordonFrom(ep string, from time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if from.IsZero() {
@@ -195,7 +195,7 @@
 }
 
 // Resubmitted checks that no task of a job still runs when its caller submits it again.
-func (j *Judge) Again(id string) {
+func (j *Judge) Resubmitted(id string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for task, eps := range j.running {
@@ -206,7 +206,7 @@
 }
 
 // Violations returns a description of each violation.
-func (j *Judge) Broken() []string {
+func (j *Judge) Violations() []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return append([]string(nil), j.violations...)
--- a/internal/tool/grid/judge_test.go
+++ b/internal/tool/grid/judge_test.go
@@ -25,10 +25,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			j, free := NewJudge(), time.Unix(1_700_000_000, 0)
-			j.Began(free.Add(c.began), "ep", "j.0.0.0", 1)
+			j.RunStarted(free.Add(c.began), "ep", "j.0.0.0", 1)
 			j.AllowResubmit(free, "j")
-			j.Over(free.Add(c.ended), "ep", "j.0.0.0", 1, lease.Gone)
-			is.Equal(len(j.Broken()), c.want)
+			j.RunEnded(free.Add(c.ended), "ep", "j.0.0.0", 1, lease.Gone)
+			is.Equal(len(j.Violations()), c.want)
 		})
 	}
 }
--- a/internal/tool/grid/net.go
+++ b/internal/tool/grid/net.go
@@ -135,7 +135,7 @@
 }
 
 // Cast implements serve.Mesh.
-func (p *vmMesh) Cast(to netip.AddrPort, m frame.Msg) error {
+func (p *vmMesh) Send(to netip.AddrPort, m frame.Msg) error {
 	p.g.Messages.Add(1)
 	if p.g.CountBytes {
 		p.g.countControl(m)
@@ -168,7 +168,7 @@
 // countControl adds a message's bytes to ControlBytes unless it belongs to a job.
 func (g *Grid) countControl(m frame.Msg) {
 	switch m.(type) {
-	case *frame.Hand, *frame.Told, *frame.Drop:
+	case *frame.RunJob, *frame.JobAnswer, *frame.CancelJob:
 		return
 	}
 	b, err := frame.Append(nil, m)
@@ -179,9 +179,9 @@
 }
 
 // Spread implements serve.Mesh.
-func (p *vmMesh) Spread(to []netip.AddrPort, m frame.Msg) {
+func (p *vmMesh) SendAll(to []netip.AddrPort, m frame.Msg) {
 	for _, vm := range to {
-		_ = p.Cast(vm, m) // messages may be lost
+		_ = p.Send(vm, m) // messages may be lost
 	}
 }
 
@@ -273,7 +273,7 @@
 }
 
 // Stop implements agent.Agent.
-func (h *vmAgent) Stop(ctx context.Context, to agent.Target, n lease.Name, fence uint64) error {
+func (h *vmAgent) Stop(ctx context.Context, to agent.Target, n lease.RunID, fence uint64) error {
 	return h.call(ctx, to, otherOrderBytes, func(e *fakes.Leased) error { return e.Stop(ctx, to.ID, n, fence) })
 }
 
@@ -330,14 +330,14 @@
 }
 
 // Next implements feed.Source.
-func (s *vmTopic[T]) Next(ctx context.Context, from int64, a feed.Ask) (b feed.Batch[T], err error) {
+func (s *vmTopic[T]) Next(ctx context.Context, from int64, a feed.ReadOptions) (b feed.Batch[T], err error) {
 	if err := s.call(); err != nil {
 		return b, err
 	}
 	if b, err = s.topic.Next(ctx, from, a); err != nil {
 		return b, fmt.Errorf("next: %w", err)
 	}
-	s.reads.Add(int64(len(b.All)))
+	s.reads.Add(int64(len(b.Updates)))
 	return b, nil
 }
 
--- a/internal/tool/grid/steps.go
+++ b/internal/tool/grid/steps.go
@@ -26,11 +26,11 @@
 	g.Plans.Put(d.Key(), d)
 	from := time.Now().Add(delay)
 	for _, id := range g.domainEndpoints(domain) {
-		g.Judge.Shut(id, from)
+		g.Judge.CordonFrom(id, from)
 	}
 	time.Sleep(span)
 	for _, id := range g.domainEndpoints(domain) {
-		g.Judge.Shut(id, time.Time{})
+		g.Judge.CordonFrom(id, time.Time{})
 	}
 	g.Plans.Remove(d.Key())
 }
@@ -112,7 +112,7 @@
 	defer g.mu.Unlock()
 	way := [2]string{from, to}
 	if g.cuts[way] && !cut {
-		g.healsAt[way] = time.Now().Add(meshlink.Heal)
+		g.healsAt[way] = time.Now().Add(meshlink.MaxReconnect)
 	}
 	g.cuts[way] = cut
 }
--- a/internal/tool/grid/uplink.go
+++ b/internal/tool/grid/uplink.go
@@ -17,7 +17,7 @@
 
 // msgSize returns the approximate size of a message to another VM.
 func msgSize(m frame.Msg) int {
-	if _, ok := m.(*frame.Hand); ok {
+	if _, ok := m.(*frame.RunJob); ok {
 		return handoverBytes
 	}
 	return otherMsgBytes
--- a/internal/tool/judge/judge.go
+++ b/internal/tool/judge/judge.go
@@ -28,20 +28,20 @@
 
 // Tally counts jobs by outcome, and violated guarantees.
 type Tally struct {
-	Jobs    int `json:"jobs"`
-	Tasks   int `json:"tasks"`
-	Done    int `json:"done"`
-	Refused int `json:"refused"`
-	Failed  int `json:"failed"`
-	Unknown int `json:"unknown"`
-	Twice   int `json:"twice"`   // tasks that started more than once
-	Partial int `json:"partial"` // done answers that lack results
-	Crossed int `json:"crossed"` // answers with another request's results
-	Lies    int `json:"lies"`    // refused although a task started
+	Jobs          int `json:"jobs"`
+	Tasks         int `json:"tasks"`
+	Done          int `json:"done"`
+	Refused       int `json:"refused"`
+	Failed        int `json:"failed"`
+	Unknown       int `json:"unknown"`
+	Twice         int `json:"twice"`   // tasks that started more than once
+	Partial       int `json:"partial"` // done answers that lack results
+	Crossed       int `json:"crossed"` // answers with another request's results
+	FalseRefusals int `json:"lies"`    // refused although a task started
 }
 
 // Broken returns the number of violated guarantees.
-func (t Tally) Broken() int { return t.Twice + t.Partial + t.Crossed + t.Lies }
+func (t Tally) Broken() int { return t.Twice + t.Partial + t.Crossed + t.FalseRefusals }
 
 // New returns a Judge without jobs.
 func New() *Judge { return &Judge{jobs: map[string]*record{}} }
@@ -123,7 +123,7 @@
 }
 
 // Violations describes the first violated guarantees.
-func (j *Judge) Why() []string {
+func (j *Judge) Violations() []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return append([]string{}, j.violations...)
@@ -165,7 +165,7 @@
 		falseRefusal = falseRefusal || o == job.Refused && started > 0
 	}
 	if falseRefusal {
-		t.Lies++
+		t.FalseRefusals++
 		j.addViolation("%s: refused, but %d tasks started; answers %v", name, started, r.outcomes)
 	}
 	switch last {
--- a/internal/tool/judge/judge_test.go
+++ b/internal/tool/judge/judge_test.go
@@ -31,7 +31,7 @@
 		"refused but started": {func(j *Judge) {
 			j.Answer("a", &job.Answer{Outcome: job.Refused})
 			j.Started("a", 1) // later than the answer
-		}, Tally{Jobs: 1, Tasks: 2, Refused: 1, Lies: 1}},
+		}, Tally{Jobs: 1, Tasks: 2, Refused: 1, FalseRefusals: 1}},
 		"result of another job": {func(j *Judge) {
 			j.Answer("a", &job.Answer{Outcome: job.Done, Results: [][]byte{result("a", "0"), result("b", "1")}})
 		}, Tally{Jobs: 1, Tasks: 2, Done: 1, Crossed: 1}},
@@ -53,7 +53,7 @@
 			j.Submit("a", 2)
 			c.play(j)
 			is.Equal(j.Verdict(), c.want)
-			is.Equal(len(j.Why()) > 0, c.want.Broken() > 0)
+			is.Equal(len(j.Violations()) > 0, c.want.Broken() > 0)
 		})
 	}
 }
--- a/internal/tool/load/load.go
+++ b/internal/tool/load/load.go
@@ -23,22 +23,22 @@
 
 // Plan describes a load.
 type Plan struct {
-	Targets []netip.AddrPort // caller addresses of the entry VMs
-	Mix     mix.Mix
-	Rate    float64 // jobs per second
-	Span    time.Duration
-	Seed    uint64
-	Burst   float64       // factor on Rate during the burst; 0 for no burst
-	From    time.Duration // start of the burst
-	Till    time.Duration // end of the burst
+	Targets    []netip.AddrPort // caller addresses of the entry VMs
+	Mix        mix.Mix
+	Rate       float64 // jobs per second
+	Span       time.Duration
+	Seed       uint64
+	Burst      float64       // factor on Rate during the burst; 0 for no burst
+	BurstStart time.Duration // start of the burst
+	BurstEnd   time.Duration // end of the burst
 }
 
 // Report sums up the answers that callers received.
 type Report struct {
 	judge.Tally
-	Ratio   Ratio            `json:"ratio"`
-	Millis  map[string]Quant `json:"millis"` // response times of done jobs by class
-	Reasons map[string]int   `json:"reasons,omitempty"`
+	Ratio   Ratio                `json:"ratio"`
+	Millis  map[string]Quantiles `json:"millis"` // response times of done jobs by class
+	Reasons map[string]int       `json:"reasons,omitempty"`
 }
 
 // Ratio is response time over ideal time of done jobs.
@@ -49,7 +49,7 @@
 }
 
 // Quantiles holds response times in milliseconds.
-type Quant struct {
+type Quantiles struct {
 	P50 float64 `json:"p50"`
 	P99 float64 `json:"p99"`
 	Max float64 `json:"max"`
@@ -107,7 +107,7 @@
 	var wg sync.WaitGroup
 	for n := 0; ctx.Err() == nil; n++ {
 		rate := l.plan.Rate
-		if elapsed := due.Sub(began); l.plan.Burst > 0 && elapsed >= l.plan.From && elapsed < l.plan.Till {
+		if elapsed := due.Sub(began); l.plan.Burst > 0 && elapsed >= l.plan.BurstStart && elapsed < l.plan.BurstEnd {
 			rate *= l.plan.Burst
 		}
 		due = due.Add(mix.Gap(r, rate))
@@ -211,7 +211,7 @@
 func (l *Load) Report() Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := Report{Tally: l.judge.Verdict(), Millis: map[string]Quant{}, Reasons: l.reasons}
+	r := Report{Tally: l.judge.Verdict(), Millis: map[string]Quantiles{}, Reasons: l.reasons}
 	r.Ratio = Ratio{
 		Mean: l.ratio.Mean() / 1000,
 		P50:  float64(l.ratio.ValueAtQuantile(50)) / 1000,
@@ -219,7 +219,7 @@
 	}
 	for name, h := range l.classes {
 		ms := func(us int64) float64 { return float64(us) / 1000 }
-		r.Millis[name] = Quant{P50: ms(h.ValueAtQuantile(50)), P99: ms(h.ValueAtQuantile(99)), Max: ms(h.Max())}
+		r.Millis[name] = Quantiles{P50: ms(h.ValueAtQuantile(50)), P99: ms(h.ValueAtQuantile(99)), Max: ms(h.Max())}
 	}
 	return r
 }
--- a/internal/tool/local/local.go
+++ b/internal/tool/local/local.go
@@ -43,7 +43,7 @@
 }
 
 // DefaultShape returns the service's initial size: 8 VMs in 4 failure domains, 50 endpoints.
-func Brief() Shape {
+func DefaultShape() Shape {
 	return Shape{
 		Domains: 4, VMs: 8, Endpoints: 50, Slots: 8, ListLag: 2 * time.Second, Stream: "mixed", Policy: place.Homes,
 		Log: fakes.LogRules{Rate: 400, Synced: 5 * time.Millisecond, Keep: time.Hour},
@@ -149,7 +149,7 @@
 }
 
 // FreeAddr returns a loopback address with a free port that no other deployment gets.
-func Spare() (netip.AddrPort, error) {
+func FreeAddr() (netip.AddrPort, error) {
 	var last error
 	for range 100 {
 		n, err := ports.port()
@@ -198,7 +198,7 @@
 		d.group.Go(func() error { return fakes.ServeEndpoint(d.ctx, e, l) })
 	}
 	for i := range d.Shape.VMs {
-		at, err := Spare()
+		at, err := FreeAddr()
 		if err != nil {
 			return err
 		}
@@ -244,10 +244,10 @@
 	set.Log, set.List, set.Linger = d.LogAt, d.ListAt, valid.Span(500*time.Millisecond)
 	set.Retention = valid.Span(max(time.Minute, d.Log.Keep))
 	var err error
-	if set.Caller, err = Spare(); err != nil {
+	if set.Caller, err = FreeAddr(); err != nil {
 		return nil, err
 	}
-	if set.Operator, err = Spare(); err != nil {
+	if set.Operator, err = FreeAddr(); err != nil {
 		return nil, err
 	}
 	killCtx, kill := context.WithCancel(d.ctx)
--- a/internal/tool/local/local_test.go
+++ b/internal/tool/local/local_test.go
@@ -33,7 +33,7 @@
 // startWith is start with a changed shape.
 func startWith(t *testing.T, j *judge.Judge, change func(*Shape)) *Deployment {
 	t.Helper()
-	shape := Brief()
+	shape := DefaultShape()
 	shape.Domains, shape.VMs, shape.Endpoints = 2, 4, 6
 	change(&shape)
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
@@ -262,12 +262,12 @@
 	is := is.New(t)
 	j := judge.New()
 	d := start(t, j)
-	m := mix.Paper()
+	m := mix.Default()
 	for i := range m.Kinds {
 		m.Kinds[i].Key = "demo-" + m.Kinds[i].Tenant
 		m.Kinds[i].Most = min(8, m.Kinds[i].Most)
 	}
-	plan := load.Plan{Mix: m, Rate: 0.4 * 48 / m.Work().Seconds(), Span: 3 * time.Second, Seed: 3}
+	plan := load.Plan{Mix: m, Rate: 0.4 * 48 / m.MeanWork().Seconds(), Span: 3 * time.Second, Seed: 3}
 	for _, v := range d.VMs {
 		plan.Targets = append(plan.Targets, v.Settings.Caller)
 	}
--- a/internal/tool/local/operator_test.go
+++ b/internal/tool/local/operator_test.go
@@ -139,13 +139,13 @@
 	dir := t.TempDir()
 	a, err := certs.NewAuthority(time.Hour)
 	is.NoErr(err)
-	f, err := a.Make(dir, time.Hour, netip.MustParseAddr("127.0.0.1"))
+	f, err := a.Issue(dir, time.Hour, netip.MustParseAddr("127.0.0.1"))
 	is.NoErr(err)
 	j := judge.New()
 	d := startWith(t, j, func(s *Shape) {
 		s.TLS = setup.TLS{Cert: f.Cert, Key: f.Key, Authority: f.Authority, Mesh: true}
 	})
-	_, err = a.Make(dir, time.Hour, netip.MustParseAddr("127.0.0.1"))
+	_, err = a.Issue(dir, time.Hour, netip.MustParseAddr("127.0.0.1"))
 	is.NoErr(err)
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
--- a/internal/tool/mix/mix.go
+++ b/internal/tool/mix/mix.go
@@ -23,27 +23,27 @@
 
 // Kind describes jobs of one kind.
 type Kind struct {
-	Name   string     `json:"name"`
-	Tenant string     `json:"tenant"`
-	Key    string     `json:"key,omitempty"` // API key of the caller, where one is needed
-	Class  string     `json:"class"`
-	Share  float64    `json:"share"` // weight among the kinds of jobs
-	Least  int        `json:"least"` // tasks of a job, log-uniform from Least to Most
-	Most   int        `json:"most"`
-	Run    valid.Span `json:"run"`            // median run time, log-normal
-	Sigma  float64    `json:"sigma"`          // standard deviation of its logarithm
-	Tail   float64    `json:"tail,omitempty"` // fraction of tasks that run from Long to Longer
-	Long   valid.Span `json:"long,omitempty"`
-	Longer valid.Span `json:"longer,omitempty"`
-	Told   float64    `json:"told,omitempty"`   // declared run time / median; 0: none declared
-	Fail   float64    `json:"fail,omitempty"`   // fraction of tasks that fail
-	Need   job.Size   `json:"need,omitempty"`   // resources of each task
-	Ticket bool       `json:"ticket,omitempty"` // submitted with a ticket
+	Name          string     `json:"name"`
+	Tenant        string     `json:"tenant"`
+	Key           string     `json:"key,omitempty"` // API key of the caller, where one is needed
+	Class         string     `json:"class"`
+	Share         float64    `json:"share"` // weight among the kinds of jobs
+	Least         int        `json:"least"` // tasks of a job, log-uniform from Least to Most
+	Most          int        `json:"most"`
+	Run           valid.Span `json:"run"`            // median run time, log-normal
+	Sigma         float64    `json:"sigma"`          // standard deviation of its logarithm
+	Tail          float64    `json:"tail,omitempty"` // fraction of tasks that run from Long to Longer
+	Long          valid.Span `json:"long,omitempty"`
+	Longer        valid.Span `json:"longer,omitempty"`
+	DeclaredRatio float64    `json:"told,omitempty"`   // declared run time / median; 0: none declared
+	Fail          float64    `json:"fail,omitempty"`   // fraction of tasks that fail
+	Need          job.Size   `json:"need,omitempty"`   // resources of each task
+	Ticket        bool       `json:"ticket,omitempty"` // submitted with a ticket
 }
 
 // Default returns the standard mix: log-normal run times with a median of 200 ms,
 // one task in twenty of 2 to 5 s, jobs of 1 to 64 tasks.
-func Paper() Mix {
+func Default() Mix {
 	kind := func(name, tenant, class string, share float64, most int) Kind {
 		return Kind{
 			Name: name, Tenant: tenant, Class: class, Share: share, Least: 1, Most: most,
@@ -74,7 +74,7 @@
 			"crew":    {Weight: 1, Keys: []string{doc.Hash("demo-crew")}},
 			"imprint": {Weight: 1, Keys: []string{doc.Hash("demo-imprint")}},
 		},
-		Limits:  doc.Limits{Tasks: doc.MostTasks, Bytes: 4 << 20, Deadline: valid.Span(2 * time.Minute)},
+		Limits:  doc.Limits{Tasks: doc.MaxTasks, Bytes: 4 << 20, Deadline: valid.Span(2 * time.Minute)},
 		Reserve: 0.08, Patience: valid.Span(200 * time.Millisecond),
 	}
 }
@@ -86,7 +86,7 @@
 		return Mix{}, fmt.Errorf("read mix: %w", err)
 	}
 	var m Mix
-	if err := valid.Strict(text, &m); err != nil {
+	if err := valid.DecodeStrict(text, &m); err != nil {
 		return Mix{}, &valid.Error{Problems: []valid.Problem{valid.JSONProblem("mix", err)}}
 	}
 	if ps := m.Check(); len(ps) > 0 {
@@ -98,13 +98,13 @@
 // Check returns every problem of the mix.
 func (m Mix) Check() (ps []valid.Problem) {
 	if len(m.Kinds) == 0 {
-		ps = append(ps, valid.Problem{Field: "kinds", Wrong: "is empty", Mend: "describe at least one kind of job"})
+		ps = append(ps, valid.Problem{Field: "kinds", Wrong: "is empty", Fix: "describe at least one kind of job"})
 	}
 	for i, k := range m.Kinds {
 		prefix := fmt.Sprintf("kinds[%d].", i)
 		require := func(ok bool, field, wrong, mend string) {
 			if !ok {
-				ps = append(ps, valid.Problem{Field: prefix + field, Wrong: wrong, Mend: mend})
+				ps = append(ps, valid.Problem{Field: prefix + field, Wrong: wrong, Fix: mend})
 			}
 		}
 		require(k.Share > 0, "share", fmt.Sprint(k.Share), "use more than 0")
@@ -142,7 +142,7 @@
 }
 
 // MeanWork returns the mean total run time of a job's tasks.
-func (m Mix) Work() time.Duration {
+func (m Mix) MeanWork() time.Duration {
 	var sum, shares float64
 	for _, k := range m.Kinds {
 		sum += k.Share * k.MeanTasks() * k.MeanRun().Seconds()
@@ -181,7 +181,7 @@
 		j.Runs = append(j.Runs, run)
 		t := fakes.Task{Job: name, Task: i, Run: valid.Span(run), Fail: r.Float64() < k.Fail}
 		j.Req.Tasks = append(j.Req.Tasks, job.Task{
-			Need: k.Need, Run: time.Duration(k.Told * float64(k.Run)), Body: t.Encode(),
+			Need: k.Need, Run: time.Duration(k.DeclaredRatio * float64(k.Run)), Body: t.Encode(),
 		})
 	}
 	return j
--- a/internal/tool/model/endpoint.go
+++ b/internal/tool/model/endpoint.go
@@ -21,7 +21,7 @@
 }
 
 type activeRun struct {
-	lease.Name
+	lease.RunID
 	submission int // whose run it is
 	started    time.Time
 	due        time.Time
@@ -60,15 +60,15 @@
 		return err
 	}
 	if s.Until <= e.clock() {
-		return &agent.RefusedError{Why: agent.Late}
+		return &agent.RefusedError{Why: agent.LeaseExpired}
 	}
 	e.extend(s.Until)
 	r := e.find(s.Name.Task)
 	switch {
-	case r != nil && r.Name == s.Name:
+	case r != nil && r.RunID == s.Name:
 		return nil
 	case s.Name.Num <= e.lastNum[s.Name.Task]:
-		return &agent.RefusedError{Why: agent.Old}
+		return &agent.RefusedError{Why: agent.Superseded}
 	case r != nil:
 		return &agent.RefusedError{Why: agent.NoRoom}
 	}
@@ -83,20 +83,20 @@
 	e.until = max(e.until, min(until, e.clock()+hold.Milliseconds()))
 }
 
-func (e *endpoint) stop(n lease.Name, fence uint64) error {
+func (e *endpoint) stop(n lease.RunID, fence uint64) error {
 	if err := e.checkFence(fence); err != nil {
 		return err
 	}
 	e.lastNum[n.Task] = max(e.lastNum[n.Task], n.Num)
-	if r := e.find(n.Task); r != nil && r.Name == n {
+	if r := e.find(n.Task); r != nil && r.RunID == n {
 		e.endRun(r, lease.Gone)
 	}
 	return nil
 }
 
-func (e *endpoint) endRun(r *activeRun, how lease.How) {
+func (e *endpoint) endRun(r *activeRun, how lease.EndState) {
 	e.serial++
-	e.ended = append(e.ended, lease.Ended{Serial: e.serial, Name: r.Task, Num: r.Num, How: how})
+	e.ended = append(e.ended, lease.Ended{Serial: e.serial, Name: r.Task, Num: r.Num, State: how})
 	e.lastNum[r.Task] = max(e.lastNum[r.Task], r.Num)
 	e.runs = slices.DeleteFunc(e.runs, func(x *activeRun) bool { return x == r })
 }
--- a/internal/tool/model/entry.go
+++ b/internal/tool/model/entry.go
@@ -155,7 +155,7 @@
 		return
 	}
 	o.owner.Submit(now, o.key(), &batch.Job{
-		ID: theJob, Queue: "q", Attempts: 3, Stretch: 1.6, Slack: 2 * time.Second, Left: longDeadline, Asked: sent,
+		ID: theJob, Queue: "q", Attempts: 3, Stretch: 1.6, Slack: 2 * time.Second, TimeLeft: longDeadline, AskedAt: sent,
 		Steps: []batch.Step{{Count: 1, Need: job.Size{Cores: 60}, Run: longWork}},
 	})
 }
@@ -251,7 +251,7 @@
 func (v *vm) submitOwn() {
 	v.submitted = true
 	v.owner.Submit(v.w.now, v.ownKey(), &batch.Job{
-		ID: "k", Queue: "k", Attempts: 3, Stretch: 1.6, Slack: 2 * time.Second, Left: 2 * longHorizon,
+		ID: "k", Queue: "k", Attempts: 3, Stretch: 1.6, Slack: 2 * time.Second, TimeLeft: 2 * longHorizon,
 		Steps: []batch.Step{{Count: 1, Need: job.Size{Cores: 4}, Run: longHorizon}},
 	})
 	v.perform()
@@ -280,22 +280,22 @@
 		for _, r := range ep.Runs {
 			jobs[r], r.Job = r.Job, nil
 		}
-		until := ep.Until(v.w.now)
+		until := ep.RenewUntil(v.w.now)
 		for r, j := range jobs {
 			r.Job = j
 		}
 		return until
 	case StaleKeepaliveStarts:
-		return min(ep.Until(v.w.now), v.strictLease(ep))
+		return min(ep.RenewUntil(v.w.now), v.strictLease(ep))
 	default:
-		return ep.Until(v.w.now)
+		return ep.RenewUntil(v.w.now)
 	}
 }
 
 // strictLease returns the end of the lease that the unmutated rules allow.
 func (v *vm) strictLease(ep *lease.Endpoint) int64 {
 	x := lease.New(ep.Info, ep.Fence, limits)
-	x.Take(v.w.now, v.w.now, lease.Report{Clock: v.endpointOf(ep).clock()})
+	x.ApplyReport(v.w.now, v.w.now, lease.Report{Clock: v.endpointOf(ep).clock()})
 	for n, r := range ep.Runs {
 		c := &lease.Run{Name: r.Name}
 		if r.Name == theTask && v.n == 0 {
@@ -303,11 +303,11 @@
 		}
 		x.Runs[n] = c
 	}
-	return x.Until(v.w.now)
+	return x.RenewUntil(v.w.now)
 }
 
 // keptAlive is a job with the send time of its last keepalive.
 type keptAlive struct{ sent time.Time }
 
 // By implements lease.Job.
-func (k keptAlive) By() time.Time { return k.sent.Add(limits.Outlive()) }
+func (k keptAlive) EndBy() time.Time { return k.sent.Add(limits.Outlive()) }
