--- a/internal/tool/model/world.go
+++ b/internal/tool/model/world.go
@@ -91,7 +91,7 @@
 type vm struct {
 	w           *world
 	n           int
-	owner       *owner.Book
+	owner       *owner.Scheduler
 	fence       uint64
 	downSince   time.Time // when it last paused or died
 	pausedUntil time.Time // end of the pause
@@ -112,7 +112,7 @@
 	for i := range 2 {
 		w.endpoints = append(w.endpoints, &endpoint{w: w, id: string(rune('a' + i)), lastNum: map[string]int{}})
 		w.vms = append(w.vms, &vm{w: w, n: i, fence: 7 + uint64(i), owner: owner.New(owner.Config{
-			Limits: limits, Far: 2, Log: slog.New(slog.DiscardHandler),
+			Limits: limits, RemoteFactor: 2, Log: slog.New(slog.DiscardHandler),
 		})})
 	}
 	if s == CallerAtEntry {
@@ -136,7 +136,7 @@
 }
 
 // checkStart records a run that starts for a submission, and checks it.
-func (w *world) checkStart(e *endpoint, n lease.Name, submission int) {
+func (w *world) checkStart(e *endpoint, n lease.RunID, submission int) {
 	w.record("endpoint %s starts run %d for VM %d", e.id, n.Num, submission)
 	w.started[submission] = true
 	for _, o := range w.endpoints {
@@ -256,7 +256,7 @@
 	if v.isDown() {
 		return
 	}
-	if ep := v.owner.Find("a"); v.n == 0 && !v.submitted && ep != nil && ep.Known {
+	if ep := v.owner.Find("a"); v.n == 0 && !v.submitted && ep != nil && ep.Synced {
 		if v.w.entry == nil {
 			v.submit()
 		} else {
@@ -343,7 +343,7 @@
 	v.w.record("the job is submitted to VM %d", v.n)
 	v.submitted = true
 	v.owner.Submit(v.w.now, v.key(), &batch.Job{
-		ID: theJob, Queue: "q", Attempts: 3, Stretch: 1.6, Slack: 2 * time.Second, Left: v.w.horizon() - time.Second,
+		ID: theJob, Queue: "q", Attempts: 3, Stretch: 1.6, Slack: 2 * time.Second, TimeLeft: v.w.horizon() - time.Second,
 		Steps: []batch.Step{{Count: 1, Need: job.Size{Cores: 60}, Run: v.w.runTime(theTask)}},
 	})
 	v.perform()
@@ -374,7 +374,7 @@
 		v.w.events = append(v.w.events, event{v.w.now.Add(longDelay), nil, func() { _ = do() }})
 	case 5:
 		v.w.record("VM %d's %s is refused as unhealthy", v.n, what)
-		return &agent.RefusedError{Why: agent.Ill}
+		return &agent.RefusedError{Why: agent.Unhealthy}
 	}
 	return errLost
 }
@@ -385,7 +385,7 @@
 		return
 	}
 	o := agent.Renew{Fence: ep.Fence, Cursor: ep.Cursor}
-	if ep.Known && !ep.Silent && len(ep.Runs) > 0 {
+	if ep.Synced && !ep.Silent && len(ep.Runs) > 0 {
 		o.Until = v.leaseUntil(ep)
 	}
 	var r lease.Report
@@ -401,7 +401,7 @@
 	case errors.As(err, &refused) && refused.Why == agent.Fenced:
 		v.owner.Lose(v.w.now, e.id, false, "fence")
 	default:
-		v.owner.Quiet(v.w.now, ep, err)
+		v.owner.RenewalFailed(v.w.now, ep, err)
 		if v.w.mutation == SilenceEndsRuns && ep.Silent {
 			v.owner.Lose(v.w.now, e.id, true, "silent")
 		}
@@ -411,11 +411,11 @@
 // perform carries out the owner's decisions.
 func (v *vm) perform() {
 	for {
-		decisions := v.owner.Take()
-		if len(decisions.Starts)+len(decisions.Stops)+len(decisions.Tells) == 0 {
+		decisions := v.owner.TakeActions()
+		if len(decisions.Starts)+len(decisions.Stops)+len(decisions.Replies) == 0 {
 			return
 		}
-		for _, t := range decisions.Tells {
+		for _, t := range decisions.Replies {
 			if t.Key == v.key() {
 				v.sendAnswer(t.Answer)
 			}
@@ -448,7 +448,7 @@
 
 func (v *vm) start(s owner.Start) {
 	e := v.endpointOf(s.At)
-	o := agent.Start{Name: lease.Name{Task: s.Run.Name, Num: s.Run.Num}, Until: s.Until, Fence: s.Fence}
+	o := agent.Start{Name: lease.RunID{Task: s.Run.Name, Num: s.Run.Num}, Until: s.Until, Fence: s.Fence}
 	if v.w.mutation == StaleKeepaliveStarts {
 		o.Until = min(o.Until, v.strictLease(s.At))
 	}
@@ -471,7 +471,7 @@
 	case v.w.mutation == UnansweredIsLost && agent.Unanswered(err):
 		unanswered, err = 0, &agent.RefusedError{Why: agent.NoRoom}
 	}
-	v.owner.Ordered(v.w.now, s, unanswered, err)
+	v.owner.StartResult(v.w.now, s, unanswered, err)
 }
 
 func (v *vm) stop(s owner.Stop) {
--- a/internal/tool/scene/burst_test.go
+++ b/internal/tool/scene/burst_test.go
@@ -69,7 +69,7 @@
 		done := make(chan struct{}, wave)
 		for i := range wave {
 			j := s.Mix.Draw(s.rand(), fmt.Sprint("wave-", i))
-			j.Req.Left = 100 * time.Second
+			j.Req.TimeLeft = 100 * time.Second
 			go func() {
 				s.Call(ctx, j, uint64(i))
 				done <- struct{}{}
--- a/internal/tool/scene/caller.go
+++ b/internal/tool/scene/caller.go
@@ -50,7 +50,7 @@
 // runLoad submits jobs in an open loop: arrivals don't wait for answers.
 func (s *Scene) runLoad() {
 	slots := float64(s.Endpoints * s.Slots)
-	perSecond := s.Load * slots / s.Mix.Work().Seconds()
+	perSecond := s.Load * slots / s.Mix.MeanWork().Seconds()
 	var callers sync.WaitGroup
 	for perSecond > 0 {
 		at := time.Since(s.began)
@@ -160,7 +160,7 @@
 	case a := <-out:
 		return a
 	case <-v.killed:
-		return job.Doubt(job.Silent, "the VM died")
+		return job.UnknownAnswer(job.Silent, "the VM died")
 	}
 }
 
--- a/internal/tool/scene/declare_test.go
+++ b/internal/tool/scene/declare_test.go
@@ -214,7 +214,7 @@
 		s.Kill(v)
 		w := s.Boot(v.Mesh, v.Domain)
 		time.Sleep(5 * time.Second)
-		_, a := w.Node.Ident("demo-crew")
+		_, a := w.Node.Authenticate("demo-crew")
 		refused = string(a.Reason)
 	}}}
 	play(t, set)
--- a/internal/tool/scene/fault_test.go
+++ b/internal/tool/scene/fault_test.go
@@ -56,7 +56,7 @@
 // boundedMix returns a mix whose urgent jobs have run times without a long tail, so that
 // the p99 of a few hundred jobs is meaningful.
 func boundedMix() mix.Mix {
-	m := mix.Paper()
+	m := mix.Default()
 	m.Kinds[0].Tail = 0
 	m.Kinds[0].Sigma = 0.2
 	return m
@@ -100,7 +100,7 @@
 		set.Faults = append(set.Faults, Fault{at, func(s *Scene) {
 			out := 0
 			for i := range s.VMs {
-				out += s.VM(i).Node.Stats().Out
+				out += s.VM(i).Node.Stats().Ejected
 			}
 			s.mu.Lock()
 			worst = max(worst, out)
@@ -189,7 +189,7 @@
 	{"declarations off by ten", "Slots are idle or jobs late: every job declares a tenth of its run time, or ten times as much, and declarations are trusted.",
 		func(set *Setup) {
 			for i := range set.Mix.Kinds {
-				set.Mix.Kinds[i].Told = []float64{0.1, 10}[i%2]
+				set.Mix.Kinds[i].DeclaredRatio = []float64{0.1, 10}[i%2]
 			}
 		}, 0.99},
 	{"impossible jobs", "Jobs wait behind one that can never run: it needs more than any endpoint has, but is queued.",
--- a/internal/tool/scene/load_test.go
+++ b/internal/tool/scene/load_test.go
@@ -19,7 +19,7 @@
 	if v := s.Judge.Verdict(); v.Broken() > 0 {
 		t.Errorf("violated guarantees: %+v", v)
 	}
-	for _, w := range s.Judge.Why() {
+	for _, w := range s.Judge.Violations() {
 		t.Error(w)
 	}
 	return s
--- a/internal/tool/scene/net.go
+++ b/internal/tool/scene/net.go
@@ -70,10 +70,10 @@
 	e := w.s.endpoints[at]
 	if e == nil || e.Dead() || w.s.isCut(w.from.Domain, e.Domain) {
 		time.Sleep(w.delay(e) * 2)
-		return flow.Result{Ending: flow.Unsent, Err: errUnreachable}
+		return flow.Result{Status: flow.Unsent, Err: errUnreachable}
 	}
 	if !x.Begin() {
-		return flow.Result{Ending: flow.Unsent}
+		return flow.Result{Status: flow.Unsent}
 	}
 	w.from.tasks.Add(1)
 	out := make(chan flow.Result, 1)
@@ -85,37 +85,37 @@
 		time.Sleep(w.delay(e))
 		out <- r
 	}()
-	timeout := time.NewTimer(time.Until(x.Until))
+	timeout := time.NewTimer(time.Until(x.Deadline))
 	defer timeout.Stop()
 	select {
 	case r := <-out:
 		return r
 	case <-timeout.C:
-		return flow.Result{Ending: flow.Lost, Err: context.DeadlineExceeded}
+		return flow.Result{Status: flow.Lost, Err: context.DeadlineExceeded}
 	case <-ctx.Done():
-		return flow.Result{Ending: flow.Lost, Err: ctx.Err()}
+		return flow.Result{Status: flow.Lost, Err: ctx.Err()}
 	}
 }
 
 func serve(e *fakes.Endpoint, body []byte) flow.Result {
 	if e.Dead() {
-		return flow.Result{Ending: flow.Lost, Err: errUnreachable}
+		return flow.Result{Status: flow.Lost, Err: errUnreachable}
 	}
 	reply, result, died := e.Serve(body)
 	switch {
 	case died != nil:
-		return flow.Result{Ending: flow.Lost, Err: errUnreachable}
+		return flow.Result{Status: flow.Lost, Err: errUnreachable}
 	case reply == fakes.Good:
-		return flow.Result{Ending: flow.Ran, Body: result, Leaving: e.Leaving()}
+		return flow.Result{Status: flow.Ran, Body: result, Leaving: e.Leaving()}
 	case reply == fakes.Broken:
-		return flow.Result{Ending: flow.RanBadly, Leaving: e.Leaving()}
+		return flow.Result{Status: flow.Failed, Leaving: e.Leaving()}
 	default:
-		return flow.Result{Ending: flow.Refused, Leaving: e.Leaving()}
+		return flow.Result{Status: flow.Refused, Leaving: e.Leaving()}
 	}
 }
 
 // Ask implements flow.Runner.
-func (w *runner) Ask(_ context.Context, at netip.AddrPort) (bool, error) {
+func (w *runner) Probe(_ context.Context, at netip.AddrPort) (bool, error) {
 	e := w.s.endpoints[at]
 	time.Sleep(2 * w.delay(e))
 	if e.Dead() || w.s.isCut(w.from.Domain, e.Domain) {
@@ -186,7 +186,7 @@
 }
 
 // Cast implements flow.Mesh.
-func (p *vmMesh) Cast(to netip.AddrPort, m frame.Msg) error {
+func (p *vmMesh) Send(to netip.AddrPort, m frame.Msg) error {
 	vm := p.s.vmAt(to)
 	if vm == nil || vm.dead.Load() || p.from.dead.Load() {
 		return flow.ErrNoLink
@@ -212,7 +212,7 @@
 }
 
 // Reach implements flow.Mesh.
-func (p *vmMesh) Reach(_ context.Context, vm netip.AddrPort) (uint64, error) {
+func (p *vmMesh) Connect(_ context.Context, vm netip.AddrPort) (uint64, error) {
 	time.Sleep(2 * crossDelay)
 	v := p.s.vmAt(vm)
 	if v == nil || v.dead.Load() || p.s.isCut(p.from.Domain, v.Domain) {
--- a/internal/tool/scene/scene.go
+++ b/internal/tool/scene/scene.go
@@ -62,8 +62,8 @@
 func DefaultSetup(load float64) Setup {
 	return Setup{
 		Domains: 4, VMs: 8, Endpoints: 50, Slots: 8, Policy: place.Homes, Spill: true,
-		Stretch: flow.DefaultStretch, Foresight: true,
-		Doc: mix.Document(), Mix: mix.Paper(), Load: load,
+		Stretch: flow.DefaultSizeWeight, Foresight: true,
+		Doc: mix.Document(), Mix: mix.Default(), Load: load,
 		LogRules:  fakes.LogRules{Rate: 400, Synced: 5 * time.Millisecond, Keep: time.Hour},
 		Retention: time.Hour,
 		Warm:      5 * time.Second, Span: 20 * time.Second, Seed: 1,
@@ -169,9 +169,9 @@
 	log := slog.New(slog.NewTextHandler(out, nil)).With("vm", at)
 	node, err := flow.New(ctx, flow.Config{
 		Self: at, Domain: domain, Inc: v.Inc, Secret: []byte(fmt.Sprint(s.Seed, v.Inc)), Policy: s.Policy,
-		Memory: flow.DefaultMemory, Term: flow.DefaultTerm, Tickets: flow.DefaultTickets,
-		Retries: flow.DefaultRetries, Spill: s.Spill, Stretch: s.Stretch, Foresight: s.Foresight,
-	}, flow.Parts{
+		Memory: flow.DefaultMemory, TicketTerm: flow.DefaultTicketTerm, MaxTickets: flow.DefaultMaxTickets,
+		RetryRatio: flow.DefaultRetryRatio, Spill: s.Spill, SizeWeight: s.Stretch, EarlyReject: s.Foresight,
+	}, flow.Deps{
 		Timers: timers, Runner: &runner{s: s, from: v}, Mesh: &vmMesh{s: s, from: v, links: map[*VM]*link{}}, Meter: m,
 		Log: log,
 	})
@@ -199,13 +199,13 @@
 	}()
 	node.Start()
 	v.Keeper = keeper.New(&vmLog{s: s, from: v}, timers, s.Retention, node.Apply, log)
-	node.Bind(v.Keeper)
+	node.SetRevisionStore(v.Keeper)
 	s.wg.Add(1)
 	go func() {
 		defer s.wg.Done()
 		v.Keeper.Run(ctx)
 	}()
-	timers.Every(ctx, v.Keeper.RenewLook(), func() {
+	timers.Every(ctx, v.Keeper.RenewPeriod(), func() {
 		s.wg.Add(1)
 		go func() {
 			defer s.wg.Done()
@@ -238,7 +238,7 @@
 func (s *Scene) pollList(ctx context.Context, v *VM) {
 	refresh := func() {
 		if l, err := s.List.List(ctx); err == nil {
-			v.Node.Learn(l)
+			v.Node.UpdateRoster(l)
 		}
 	}
 	refresh()
--- a/internal/tool/soak/event.go
+++ b/internal/tool/soak/event.go
@@ -95,7 +95,7 @@
 		s.cordonedIDs = nil
 		s.mu.Unlock()
 		for _, id := range ids {
-			s.judge.Shut(id, time.Time{})
+			s.judge.CordonFrom(id, time.Time{})
 		}
 		s.store.Put(stand.Operator, stand.Cordon(fd), nil)
 	})
@@ -119,7 +119,7 @@
 	}
 	s.cordonKnown = timer.Later(s.cordonKnown, s.faultyUntil)
 	for _, id := range s.cordonedIDs {
-		s.judge.Shut(id, s.cordonKnown.Add(cordonDeadline))
+		s.judge.CordonFrom(id, s.cordonKnown.Add(cordonDeadline))
 	}
 }
 
@@ -130,7 +130,7 @@
 func (s *Soak) resize(e *fakes.Leased, fraction float64) {
 	size := job.Size{Cores: fraction * endpointSize.Cores, Memory: fraction * endpointSize.Memory}
 	e.Resize(size)
-	in := e.Known()
+	in := e.CurrentInfo()
 	if !e.Dead() {
 		s.store.Put(stand.Workers, in.ID, stand.Entry(in))
 	}
@@ -139,7 +139,7 @@
 // replace starts a new incarnation at a crashed endpoint's address after replaceAfter.
 func (s *Soak) replace(i int, old *fakes.Leased) {
 	time.AfterFunc(replaceAfter, func() {
-		in := old.Known()
+		in := old.CurrentInfo()
 		in.Size = endpointSize
 		s.mu.Lock()
 		s.replaced++
--- a/internal/tool/soak/fault.go
+++ b/internal/tool/soak/fault.go
@@ -123,11 +123,11 @@
 			}
 		}
 	case 6:
-		m := []fakes.Manners{{Late: 0.2, Delay: d}, {Mute: true}, {Hang: true}, {Fail: true}, {Slow: 5}}[s.faultRand.IntN(5)]
+		m := []fakes.Behavior{{Late: 0.2, Delay: d}, {Silent: true}, {Hang: true}, {Fail: true}, {Slow: 5}}[s.faultRand.IntN(5)]
 		return fmt.Sprintf("endpoint %d manners %+v for %s", n, m, d), func() {
 			e := s.endpointAt(n)
 			e.Set(m)
-			time.AfterFunc(d, func() { e.Set(fakes.Manners{}) })
+			time.AfterFunc(d, func() { e.Set(fakes.Behavior{}) })
 		}
 	default:
 		return "all connections to endpoints silent", func() {
@@ -196,7 +196,7 @@
 		v.storeProxy.setMode(pass)
 	}
 	for i := range s.endpoints {
-		s.endpointAt(i).Set(fakes.Manners{})
+		s.endpointAt(i).Set(fakes.Behavior{})
 		s.proxies[i].setMode(pass)
 	}
 }
--- a/internal/tool/soak/load.go
+++ b/internal/tool/soak/load.go
@@ -64,7 +64,7 @@
 	for t := range maxTries {
 		if t > 0 {
 			time.Sleep(resubmitAfter)
-			s.judge.Again(id)
+			s.judge.Resubmitted(id)
 		}
 		out := stand.Submit(clients[(first+t)%len(clients)], host, path, body, wait)
 		if out != job.Refused {
--- a/internal/tool/soak/series.go
+++ b/internal/tool/soak/series.go
@@ -87,10 +87,10 @@
 			for k := range len(s.proxies) / 2 {
 				door, e := s.proxies[(n+k)%len(s.proxies)], s.endpointAt((n+k)%len(s.proxies))
 				door.setMode(slow)
-				e.Set(fakes.Manners{Late: 0.2, Delay: offset})
+				e.Set(fakes.Behavior{Late: 0.2, Delay: offset})
 				time.AfterFunc(d, func() {
 					door.setMode(pass)
-					e.Set(fakes.Manners{})
+					e.Set(fakes.Behavior{})
 				})
 			}
 			time.Sleep(offset)
--- a/internal/tool/soak/soak.go
+++ b/internal/tool/soak/soak.go
@@ -116,7 +116,7 @@
 	wg.Wait()
 	s.clearFaults()
 	time.Sleep(settle)
-	rep := Report{Faults: s.faults, Outcomes: s.outcomes, Starts: s.judge.Starts, Violations: s.judge.Broken()}
+	rep := Report{Faults: s.faults, Outcomes: s.outcomes, Starts: s.judge.Starts, Violations: s.judge.Violations()}
 	if n := s.judge.Running(); n > 0 {
 		rep.Violations = append(rep.Violations, fmt.Sprintf("%d runs did not end", n))
 	}
@@ -193,7 +193,7 @@
 	}
 	var at [4]netip.AddrPort
 	for k := range at {
-		if at[k], err = local.Spare(); err != nil {
+		if at[k], err = local.FreeAddr(); err != nil {
 			return nil, err
 		}
 	}
--- a/winch/example_test.go
+++ b/winch/example_test.go
@@ -57,7 +57,7 @@
 
 // deployment starts a small deployment on loopback.
 func deployment(ctx context.Context) (at netip.AddrPort, stop func()) {
-	shape := local.Brief()
+	shape := local.DefaultShape()
 	shape.Domains, shape.VMs, shape.Endpoints = 1, 1, 2
 	d, err := local.Start(ctx, shape, judge.New(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
--- a/winch/parts.go
+++ b/winch/parts.go
@@ -24,7 +24,7 @@
 	// Attempt tracks one attempt and whether it may be retried.
 	Attempt = tries.Attempt
 	// TicketBook issues one-time idempotency keys and remembers which were used.
-	TicketBook = ticket.Book
+	TicketBook = ticket.Store
 	// TicketLimits are the limits of a TicketBook.
 	TicketLimits = ticket.Limits
 	// Ticket is a decoded ticket of a caller.
@@ -44,7 +44,7 @@
 	// Hello identifies one incarnation of a peer.
 	Hello = frame.Hello
 	// Beat is a peer's heartbeat.
-	Beat = frame.Beat
+	Beat = frame.Heartbeat
 	// QueueOrder ranks the jobs of a queue.
 	QueueOrder = queue.Order
 )
@@ -54,7 +54,7 @@
 	Sent     = tries.Send
 	Declined = tries.Refuse
 	Answered = tries.Answer
-	Lost     = tries.Lose
+	Lost     = tries.Disconnect
 )
 
 // Ticket verdicts that most programs need.
@@ -79,7 +79,7 @@
 // NewTicketBook returns the ticket book of one incarnation of a process; secret must be
 // random for each incarnation.
 func NewTicketBook(self netip.AddrPort, incarnation uint64, secret []byte, limits TicketLimits) *TicketBook {
-	return ticket.NewBook(self, incarnation, secret, limits)
+	return ticket.NewStore(self, incarnation, secret, limits)
 }
 
 // ParseTicket decodes ticket n of a grant.
