--- a/internal/conf/keeper/keeper.go
+++ b/internal/conf/keeper/keeper.go
@@ -108,7 +108,7 @@
 	k.changed = make(chan struct{})
 }
 
-// Offer implements flow.Docs.
+// Offer implements flow.RevisionStore.
 func (k *Keeper) Offer(r fold.Revision) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -117,7 +117,7 @@
 	}
 }
 
-// Current implements flow.Docs.
+// Current implements flow.RevisionStore.
 func (k *Keeper) Current() (fold.Revision, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/edge/serve/answer.go
+++ b/internal/edge/serve/answer.go
@@ -52,11 +52,11 @@
 // readProbes reads probes once and answers them; it returns the offset to continue from.
 func (d *Node) readProbes(from int64, known bool) (next int64, err error) {
 	if !known {
-		if _, from, err = d.parts.Presence.Newest(d.ctx); err != nil {
+		if _, from, err = d.deps.Presence.Newest(d.ctx); err != nil {
 			return from, fmt.Errorf("find the end of the probes: %w", err)
 		}
 	}
-	b, err := d.parts.Presence.Next(d.ctx, from, feed.ReadOptions{Wait: probeWait})
+	b, err := d.deps.Presence.Next(d.ctx, from, feed.ReadOptions{Wait: probeWait})
 	if err != nil {
 		return from, fmt.Errorf("read probes: %w", err)
 	}
@@ -84,7 +84,7 @@
 	}
 	ctx, cancel := context.WithTimeout(d.ctx, probeTimeout)
 	defer cancel()
-	err := d.parts.Presence.Post(ctx, a)
+	err := d.deps.Presence.Post(ctx, a)
 	d.log.Info("probe answered", "from", q.From, "call", q.Call, "domain", q.Domain, "owns", a.Owns, "err", err)
 }
 
--- a/internal/edge/serve/beat.go
+++ b/internal/edge/serve/beat.go
@@ -39,7 +39,7 @@
 			to = append(to, m.VM)
 		}
 	}
-	d.parts.Mesh.SendAll(to, b)
+	d.deps.Mesh.SendAll(to, b)
 }
 
 // updateStrain updates whether this VM's messages reach the others late; the caller holds the lock.
@@ -77,7 +77,7 @@
 			to = append(to, m.VM)
 		}
 	}
-	d.parts.Mesh.SendAll(to, b)
+	d.deps.Mesh.SendAll(to, b)
 }
 
 // memberChanged handles that a VM came, left or was restarted.
@@ -87,7 +87,7 @@
 	defer d.mu.Unlock()
 	if c.State == view.Alive && (d.aliveSince[c.VM].IsZero() || c.Reborn) {
 		d.aliveSince[c.VM] = now
-		_ = d.parts.Mesh.Send(c.VM, d.newBeat(now)) // it may be about to claim groups that are owned here
+		_ = d.deps.Mesh.Send(c.VM, d.newBeat(now)) // it may be about to claim groups that are owned here
 	}
 	if c.State == view.Gone || c.State == view.Left {
 		delete(d.aliveSince, c.VM)
@@ -95,7 +95,7 @@
 	if c.Reborn {
 		d.routes.Forget(c.VM)
 		d.loseOwner(c.VM, "the owner was restarted")
-		d.book.CancelMatching(now, func(k owner.Key) bool { return k.VM == c.VM && k.Inc != c.Inc }, "its VM was restarted")
+		d.scheduler.CancelMatching(now, func(k owner.Key) bool { return k.VM == c.VM && k.Inc != c.Inc }, "its VM was restarted")
 	}
 	d.perform()
 }
@@ -123,13 +123,13 @@
 // newBeat returns this VM's heartbeat; the caller holds the lock.
 func (d *Node) newBeat(now time.Time) *frame.Heartbeat {
 	b := &frame.Heartbeat{At: now, Leaving: d.leaving.Load(), Doubts: d.view.Doubts(now), Power: float32(d.cfg.Cores), Claims: d.claimFrames(), Storeless: d.storeless.Load(), Late: d.view.Lates(now), Strained: d.strained}
-	for _, s := range d.book.Suspects(now) {
+	for _, s := range d.scheduler.Suspects(now) {
 		b.Suspects = append(b.Suspects, frame.Suspect(s))
 	}
-	for _, l := range d.book.Losses(now) {
+	for _, l := range d.scheduler.Losses(now) {
 		b.Losses = append(b.Losses, frame.Loss(l))
 	}
-	for _, c := range d.book.Cleared(now) {
+	for _, c := range d.scheduler.Cleared(now) {
 		b.Cleared = append(b.Cleared, frame.Cleared(c))
 	}
 	if d.loadInBeat() {
@@ -150,7 +150,7 @@
 		d.updateClaims(now) // more often than heartbeats: until the first claim all jobs wait
 	}
 	d.unpark(now)
-	d.book.Tick(now)
+	d.scheduler.Tick(now)
 	d.perform()
 }
 
@@ -175,7 +175,7 @@
 	inBeat := d.loadInBeat()
 	d.mu.Unlock()
 	if !inBeat {
-		d.parts.Mesh.SendAll(to, &m)
+		d.deps.Mesh.SendAll(to, &m)
 	}
 }
 
@@ -184,7 +184,7 @@
 
 // load returns what others need to know about this VM as an owner; the caller holds the lock.
 func (d *Node) load(now time.Time) owner.Load {
-	l := d.book.Load(now)
+	l := d.scheduler.Load(now)
 	l.Lag = d.pace.MeanTime().Truncate(lagStep)
 	return l
 }
@@ -228,7 +228,7 @@
 		d.deliverAnswer(&owner.Reply{Key: key, Answer: *job.Refuse(job.Silent, 0, "it came %s after it was sent", age)})
 		return
 	}
-	d.book.Submit(now, key, &m.Job)
+	d.scheduler.Submit(now, key, &m.Job)
 	d.perform()
 }
 
@@ -246,13 +246,13 @@
 	now := d.lock()
 	defer d.mu.Unlock()
 	for _, s := range m.Suspects {
-		d.book.AddSuspect(now, owner.Suspect(s))
+		d.scheduler.AddSuspect(now, owner.Suspect(s))
 	}
 	for _, l := range m.Losses {
-		d.book.AddLoss(now, owner.Loss(l))
+		d.scheduler.AddLoss(now, owner.Loss(l))
 	}
 	for _, c := range m.Cleared {
-		d.book.ApplyCleared(now, owner.Cleared(c))
+		d.scheduler.ApplyCleared(now, owner.Cleared(c))
 	}
 	d.perform()
 }
@@ -284,7 +284,7 @@
 	case *frame.CancelJob:
 		d.log.Info("job cancelled by its VM", "by", from.VM, "call", m.Call, "age", d.age(now, from.VM, m.At).Round(time.Millisecond))
 		now := d.lock()
-		d.book.Cancel(now, owner.Key{VM: from.VM, Inc: from.Inc, Call: m.Call}, "its caller left")
+		d.scheduler.Cancel(now, owner.Key{VM: from.VM, Inc: from.Inc, Call: m.Call}, "its caller left")
 		d.perform()
 		d.mu.Unlock()
 	case *frame.JobAnswer:
--- a/internal/edge/serve/daemon.go
+++ b/internal/edge/serve/daemon.go
@@ -60,7 +60,7 @@
 	hello := frame.Hello{VM: cfg.VM, Inc: cfg.Inc, Domain: cfg.Domain}
 	receive := func(from frame.Hello, m frame.Msg) { d.node.Receive(from, m) }
 	d.hub = link.New(hello, link.DialTCP, receive, d.meter.AddControlBytes, log)
-	d.node = NewNode(ctx, cfg, Parts{Platform: plat, Mesh: d.hub, Timers: d.timers, Clock: clock, Meter: d.meter, Log: log})
+	d.node = NewNode(ctx, cfg, Deps{Platform: plat, Mesh: d.hub, Timers: d.timers, Clock: clock, Meter: d.meter, Log: log})
 	servers := []struct {
 		at netip.AddrPort
 		s  Server
@@ -128,7 +128,7 @@
 	})
 	err := g.Wait()
 	d.node.Wait()
-	d.log.Info("ended", "name", d.settings.Name, "err", err)
+	d.log.Info("stopped", "name", d.settings.Name, "err", err)
 	if err != nil {
 		return fmt.Errorf("run daemon: %w", err)
 	}
@@ -159,10 +159,10 @@
 	})
 	d.node.Drain(ctx)
 	if err := g.Wait(); err != nil {
-		d.log.Warn("drain", "err", err)
+		d.log.Warn("drain failed", "err", err)
 	}
 	if err := d.hub.Flush(ctx); err != nil {
-		d.log.Warn("drain", "err", err)
+		d.log.Warn("drain failed", "err", err)
 	}
 }
 
@@ -171,7 +171,7 @@
 	defer cancel()
 	for _, b := range d.bound {
 		if err := b.s.Shutdown(ctx); err != nil {
-			d.log.Warn("close", "err", err)
+			d.log.Warn("shutdown failed", "err", err)
 		}
 	}
 	// The library's Shutdown does not close the listener of a server that has not begun to accept.
@@ -181,12 +181,12 @@
 // Reload applies changed settings; invalid ones change nothing.
 func (d *Daemon) Reload(next Settings) {
 	if err := d.settings.checkReload(next); err != nil {
-		d.log.Warn("settings stay as they were", "err", err)
+		d.log.Warn("settings reload failed, keeping the current ones", "err", err)
 		return
 	}
 	seeds, err := next.seedPeers()
 	if err != nil {
-		d.log.Warn("settings stay as they were", "err", err)
+		d.log.Warn("settings reload failed, keeping the current ones", "err", err)
 		return
 	}
 	d.node.AddSeeds(seeds)
--- a/internal/edge/serve/drain.go
+++ b/internal/edge/serve/drain.go
@@ -27,7 +27,7 @@
 	began := d.now()
 	d.log.Info("leaving")
 	d.leaving.Store(true)
-	if err := d.parts.VMs.Leave(ctx, VM{Mesh: d.cfg.VM, Domain: d.cfg.Domain}); err != nil {
+	if err := d.deps.VMs.Leave(ctx, VM{Mesh: d.cfg.VM, Domain: d.cfg.Domain}); err != nil {
 		d.log.Warn("deregistration failed", "err", err)
 	}
 	t := time.NewTicker(drainPoll)
@@ -45,13 +45,13 @@
 func (d *Node) jobs() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.book.Jobs() + len(d.calls)
+	return d.scheduler.Jobs() + len(d.calls)
 }
 
 func (d *Node) drained() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.book.Jobs() == 0 && len(d.calls) == 0 && len(d.claims.Groups()) == 0
+	return d.scheduler.Jobs() == 0 && len(d.calls) == 0 && len(d.claims.Groups()) == 0
 }
 
 // metrics serves counters and histograms in the Prometheus text format.
--- a/internal/edge/serve/fence_test.go
+++ b/internal/edge/serve/fence_test.go
@@ -26,16 +26,16 @@
 		n.roster.put(lease.Info{ID: "e", Domain: "a", Pool: "p"})
 		time.Sleep(time.Second)
 		n.updateClaims(n.now())
-		low := n.book.Find("e").Fence
+		low := n.scheduler.Find("e").Fence
 		for range 100 { // ten seconds of heartbeats
 			time.Sleep(view.Period)
-			if ep := n.book.Find("e"); ep != nil && ep.Fence == low {
-				n.book.Lose(n.now(), "e", false, "it refused a renewal: "+agent.Fenced.String())
+			if ep := n.scheduler.Find("e"); ep != nil && ep.Fence == low {
+				n.scheduler.Lose(n.now(), "e", false, "it refused a renewal: "+agent.Fenced.String())
 				n.handleRefusal(agent.Fenced, ep, low)
 			}
 			n.updateClaims(n.now())
 		}
-		ep := n.book.Find("e")
+		ep := n.scheduler.Find("e")
 		is.True(ep != nil)
 		is.True(ep.Fence > low)
 	})
--- a/internal/edge/serve/follow.go
+++ b/internal/edge/serve/follow.go
@@ -29,7 +29,7 @@
 	noop := func() {}
 	plans := &feed.Follower[plan.Decl]{Name: "plan", Source: d.plans, Pace: feed.Pace{Wait: planWait}, Log: d.log, Apply: d.applyPlan, OnRead: noop}
 	eps := &feed.Follower[lease.Info]{Name: "endpoints", Source: d.endpoints, Pace: feed.Pace{Pause: rosterPause, MaxBytes: feed.EndpointReadBytes}, Log: d.log, Apply: d.applyRoster, OnRead: d.expireMissing}
-	vms := &feed.Follower[VM]{Name: "vms", Source: d.parts.VMs, Pace: feed.Pace{Pause: vmsPause, SettledPause: vmsLaterPause, Settle: vmsEarlyFor}, Log: d.log, Apply: d.applyVMs, OnRead: noop}
+	vms := &feed.Follower[VM]{Name: "vms", Source: d.deps.VMs, Pace: feed.Pace{Pause: vmsPause, SettledPause: vmsLaterPause, Settle: vmsEarlyFor}, Log: d.log, Apply: d.applyVMs, OnRead: noop}
 	d.wg.Go(func() { plans.Run(d.ctx) })
 	d.wg.Go(func() { eps.Run(d.ctx) })
 	d.wg.Go(func() { vms.Run(d.ctx) })
@@ -45,7 +45,7 @@
 func (d *Node) register() {
 	d.awaitVMs()
 	for d.ctx.Err() == nil {
-		err := d.parts.VMs.Join(d.ctx, VM{Mesh: d.cfg.VM, Domain: d.cfg.Domain})
+		err := d.deps.VMs.Join(d.ctx, VM{Mesh: d.cfg.VM, Domain: d.cfg.Domain})
 		if err == nil {
 			d.rereadVMs()
 			return
@@ -67,7 +67,7 @@
 		return
 	}
 	pause(d.ctx, rereadDelay)
-	all, _, err := d.parts.VMs.Newest(d.ctx)
+	all, _, err := d.deps.VMs.Newest(d.ctx)
 	if err != nil {
 		d.log.Info("second read of entry VMs failed", "err", err) // their heartbeats or the next read will do
 		return
@@ -122,7 +122,7 @@
 	} else {
 		delete(d.cordons, domain)
 	}
-	d.book.Cordon(d.now(), domain, on)
+	d.scheduler.Cordon(d.now(), domain, on)
 }
 
 // missingGrace is how long an entry may be missing before its endpoint counts as gone: entries that expired while
@@ -142,7 +142,7 @@
 		}
 		delete(d.missingSince, u.Key)
 		d.roster.put(u.Value)
-		d.book.Update(now, u.Value)
+		d.scheduler.Update(now, u.Value)
 	}
 	if whole {
 		for id := range d.roster.all {
@@ -177,7 +177,7 @@
 		}
 		delete(d.missingSince, id)
 		d.roster.remove(id)
-		d.book.Lose(now, id, false, "the platform no longer lists it")
+		d.scheduler.Lose(now, id, false, "the platform no longer lists it")
 	}
 	d.perform()
 }
@@ -195,7 +195,7 @@
 	d.vmsReadOnce.Do(func() {
 		d.firstStart.Store(!known)
 		close(d.vmsRead)
-		d.parts.Timers.After(0, d.beatListed)
+		d.deps.Timers.After(0, d.beatListed)
 	})
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/edge/serve/incarnation_test.go
+++ b/internal/edge/serve/incarnation_test.go
@@ -22,7 +22,7 @@
 
 // messageRecorder records all messages to other VMs.
 type messageRecorder struct {
-	castRecorder
+	sendRecorder
 	sent []frame.Msg
 }
 
@@ -42,15 +42,15 @@
 		at := func(n byte) netip.AddrPort { return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, n}), 1) }
 		node := func(n byte, inc uint64) (*Node, *messageRecorder) {
 			sent := &messageRecorder{}
-			return NewNode(ctx, Config{VM: at(n), Domain: "a", Inc: inc, Limits: lease.Limits{Hold: time.Second, Stop: 50 * time.Millisecond, Resend: 1300 * time.Millisecond}}, Parts{
+			return NewNode(ctx, Config{VM: at(n), Domain: "a", Inc: inc, Limits: lease.Limits{Hold: time.Second, Stop: 50 * time.Millisecond, Resend: 1300 * time.Millisecond}}, Deps{
 				Platform: Platform{Agent: illAgent{}}, Mesh: sent, Timers: timer.New(timer.Wall{}), Clock: timer.Wall{}, Meter: meter.New(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 			}), sent
 		}
 		now := time.Now()
 		ownerNode, answers := node(2, 5)
 		ownerNode.mu.Lock()
-		ownerNode.book.Own(lease.Info{ID: "e", Addr: at(9), Pool: "p", Size: job.Size{Cores: 64}}, 1)
-		ownerNode.book.Renewed(now, now, ownerNode.book.Find("e"), lease.Report{Clock: 1})
+		ownerNode.scheduler.Own(lease.Info{ID: "e", Addr: at(9), Pool: "p", Size: job.Size{Cores: 64}}, 1)
+		ownerNode.scheduler.Renewed(now, now, ownerNode.scheduler.Find("e"), lease.Report{Clock: 1})
 		ownerNode.mu.Unlock()
 		work := func(id string) batch.Job {
 			return batch.Job{ID: id, Pool: "p", Attempts: 3, Slack: time.Second, TimeLeft: time.Minute, AskedAt: now, Steps: []batch.Step{{Count: 1, Need: job.Size{Cores: 64}, Run: 100 * time.Millisecond}}}
--- a/internal/edge/serve/keepalive.go
+++ b/internal/edge/serve/keepalive.go
@@ -13,7 +13,7 @@
 // time after the last keepalive was sent, so a late or lost message never prolongs a run.
 func (d *Node) sendKeepalives() {
 	for vm, m := range d.keepalives() {
-		d.parts.Mesh.SendAll([]netip.AddrPort{vm}, m)
+		d.deps.Mesh.SendAll([]netip.AddrPort{vm}, m)
 	}
 }
 
@@ -44,7 +44,7 @@
 func (d *Node) keepLocalJobs(now time.Time) {
 	for n, c := range d.calls {
 		if c.owner == d.cfg.VM && !c.hasLeft() {
-			d.book.Keepalive(now, owner.Key{VM: c.owner, Inc: d.cfg.Inc, Call: n}, now)
+			d.scheduler.Keepalive(now, owner.Key{VM: c.owner, Inc: d.cfg.Inc, Call: n}, now)
 		}
 	}
 }
@@ -72,7 +72,7 @@
 		asked = now
 	}
 	for _, n := range m.Calls {
-		d.book.Keepalive(now, owner.Key{VM: from.VM, Inc: from.Inc, Call: n}, asked)
+		d.scheduler.Keepalive(now, owner.Key{VM: from.VM, Inc: from.Inc, Call: n}, asked)
 	}
 	d.perform()
 }
--- a/internal/edge/serve/late_refusal_test.go
+++ b/internal/edge/serve/late_refusal_test.go
@@ -24,7 +24,7 @@
 	at := func(n byte) netip.AddrPort { return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, n}), 1) }
 	node := func(vm netip.AddrPort, inc uint64) (*Node, *messageRecorder) {
 		mesh := &messageRecorder{}
-		return NewNode(t.Context(), Config{VM: vm, Domain: "a", Inc: inc, Limits: lease.Limits{Hold: time.Second, Stop: 50 * time.Millisecond, Resend: 1300 * time.Millisecond}}, Parts{
+		return NewNode(t.Context(), Config{VM: vm, Domain: "a", Inc: inc, Limits: lease.Limits{Hold: time.Second, Stop: 50 * time.Millisecond, Resend: 1300 * time.Millisecond}}, Deps{
 			Mesh: mesh, Timers: timer.New(timer.Wall{}), Clock: timer.Wall{}, Meter: meter.New(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		}), mesh
 	}
--- a/internal/edge/serve/node.go
+++ b/internal/edge/serve/node.go
@@ -51,7 +51,7 @@
 // is reported gone.
 type Mesh interface {
 	Send(to netip.AddrPort, m frame.Msg) error
-	// Spread sends a message, which may be lost, to many VMs.
+	// SendAll sends a message, which may be lost, to many VMs.
 	SendAll(to []netip.AddrPort, m frame.Msg)
 	// Absent reports whether a VM's machine does not answer, or answers that no process listens.
 	Absent(vm netip.AddrPort) bool
@@ -59,8 +59,8 @@
 	Refused(vm netip.AddrPort) bool
 }
 
-// Parts are the dependencies of a node.
-type Parts struct {
+// Deps are the dependencies of a node.
+type Deps struct {
 	Platform
 	Mesh   Mesh
 	Timers *timer.Service
@@ -72,7 +72,7 @@
 // Node is the dispatcher of one entry VM, without its listeners.
 type Node struct {
 	cfg    Config
-	parts  Parts
+	deps   Deps
 	log    *slog.Logger
 	began  time.Time
 	ctx    context.Context //nolint:containedctx // lives as long as the node
@@ -101,7 +101,7 @@
 	vmsReadAfter time.Duration
 
 	mu           sync.Mutex // guards all fields below
-	book         *owner.Scheduler
+	scheduler    *owner.Scheduler
 	claims       *claim.Table
 	routes       *route.Table
 	calls        map[uint64]*call
@@ -139,21 +139,21 @@
 type reachedSpan struct{ since, last time.Time }
 
 // NewNode returns a node that is not started.
-func NewNode(ctx context.Context, cfg Config, parts Parts) *Node {
-	now := parts.Clock.Now()
+func NewNode(ctx context.Context, cfg Config, deps Deps) *Node {
+	now := deps.Clock.Now()
 	d := &Node{
-		cfg: cfg, parts: parts, log: parts.Log, began: now, vmsRead: make(chan struct{}), calls: map[uint64]*call{}, byID: map[string]*call{},
+		cfg: cfg, deps: deps, log: deps.Log, began: now, vmsRead: make(chan struct{}), calls: map[uint64]*call{}, byID: map[string]*call{},
 		roster: newRoster(perOwner(cfg.LinkRate)), missingSince: map[string]time.Time{}, cordons: map[string]bool{}, aliveSince: map[netip.AddrPort]time.Time{},
 		wakes: map[string]chan struct{}{}, routes: route.New(cfg.VM), reached: map[claim.Group]reachedSpan{}, reaching: map[claim.Group]bool{}, lastAnswer: map[claim.Group]time.Time{}, refusals: map[claim.Group]fenceRefusal{},
 		pace: pace.New(minOrderWait, maxOrderWait), hasUnowned: true,
 		view: view.New(cfg.VM, cfg.Domain, now), claims: claim.New(cfg.VM, cfg.Domain, cfg.Cores, now),
 	}
-	d.book = owner.New(owner.Config{Limits: cfg.Limits, RemoteFactor: cfg.RemoteFactor, VerdictDelay: lossReportDelay, Log: parts.Log, OrderDelay: d.pace.Expect, Outlived: parts.Meter.ObserveOutlived})
+	d.scheduler = owner.New(owner.Config{Limits: cfg.Limits, RemoteFactor: cfg.RemoteFactor, VerdictDelay: lossReportDelay, Log: deps.Log, OrderDelay: d.pace.Expect, Outlived: deps.Meter.ObserveOutlived})
 	d.ctx, d.cancel = context.WithCancel(ctx)
 	d.view.Links(remoteLinks)
 	d.initRelays()
 	d.AddSeeds(cfg.Seeds)
-	parts.Meter.Gauge("cordoned_domains", "Failure domains whose endpoints get no new work.", func() float64 {
+	deps.Meter.Gauge("cordoned_domains", "Failure domains whose endpoints get no new work.", func() float64 {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		return float64(len(d.cordons))
@@ -164,7 +164,7 @@
 // Start starts the node's timers and begins to read the store.
 func (d *Node) Start() {
 	d.follow()
-	t := d.parts.Timers
+	t := d.deps.Timers
 	t.OnJump(d.handlePause)
 	t.After(0, d.heartbeat) // owners must be heard before this VM may claim anything
 	t.Every(d.ctx, view.Period, d.heartbeat)
@@ -179,7 +179,7 @@
 // Wait returns when all goroutines of a closed node have ended.
 func (d *Node) Wait() { d.wg.Wait() }
 
-func (d *Node) now() time.Time { return d.parts.Clock.Now() }
+func (d *Node) now() time.Time { return d.deps.Clock.Now() }
 
 // lock takes the lock and returns the time after that, so that nothing is decided by a time from before a pause of
 // this VM.
@@ -211,7 +211,7 @@
 	d.view.Resume(d.now())
 	now := d.lock()
 	defer d.mu.Unlock()
-	d.book.CancelMatching(now, func(k owner.Key) bool { return k.VM != d.cfg.VM }, "this VM was paused, and taken for lost")
+	d.scheduler.CancelMatching(now, func(k owner.Key) bool { return k.VM != d.cfg.VM }, "this VM was paused, and taken for lost")
 	d.perform()
 }
 
@@ -229,7 +229,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for id, in := range d.roster.all {
-		if in.Domain == domain && d.book.Owned(id) {
+		if in.Domain == domain && d.scheduler.Owned(id) {
 			return true
 		}
 	}
--- a/internal/edge/serve/order_test.go
+++ b/internal/edge/serve/order_test.go
@@ -42,20 +42,20 @@
 // newOwningNode returns a node that owns one endpoint, and the start of the only task of its only job.
 func newOwningNode(t *testing.T, a agent.Agent) (n *Node, s owner.Start) {
 	at := netip.MustParseAddrPort("127.0.0.1:1")
-	n = NewNode(t.Context(), Config{VM: at, Domain: "a", Limits: lease.Limits{Hold: time.Second, Stop: 50 * time.Millisecond, Resend: 1300 * time.Millisecond}}, Parts{
+	n = NewNode(t.Context(), Config{VM: at, Domain: "a", Limits: lease.Limits{Hold: time.Second, Stop: 50 * time.Millisecond, Resend: 1300 * time.Millisecond}}, Deps{
 		Platform: Platform{Agent: a}, Timers: timer.New(timer.Wall{}), Clock: timer.Wall{}, Meter: meter.New(),
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})
 	now := time.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.book.Own(lease.Info{ID: "e", Addr: at, Pool: "p", Size: job.Size{Cores: 64}}, 1)
-	n.book.Renewed(now, now, n.book.Find("e"), lease.Report{Clock: 1})
-	n.book.Submit(now, owner.Key{VM: at, Call: 1}, &batch.Job{
+	n.scheduler.Own(lease.Info{ID: "e", Addr: at, Pool: "p", Size: job.Size{Cores: 64}}, 1)
+	n.scheduler.Renewed(now, now, n.scheduler.Find("e"), lease.Report{Clock: 1})
+	n.scheduler.Submit(now, owner.Key{VM: at, Call: 1}, &batch.Job{
 		ID: "j", Pool: "p", Attempts: 3, Stretch: 1.6, Slack: time.Second, TimeLeft: time.Minute,
 		Steps: []batch.Step{{Count: 1, Need: job.Size{Cores: 9}, Run: time.Second}},
 	})
-	return n, n.book.TakeActions().Starts[0]
+	return n, n.scheduler.TakeActions().Starts[0]
 }
 
 // runStart sends the start of a job's only task to an agent with the given answers.
@@ -106,29 +106,29 @@
 	is.Equal(n.pace.Timeout(), minOrderWait)
 }
 
-// castRecorder records the receivers of messages to other VMs.
-type castRecorder struct{ to []netip.AddrPort }
+// sendRecorder records the receivers of messages to other VMs.
+type sendRecorder struct{ to []netip.AddrPort }
 
-func (c *castRecorder) Send(to netip.AddrPort, _ frame.Msg) error {
+func (c *sendRecorder) Send(to netip.AddrPort, _ frame.Msg) error {
 	c.to = append(c.to, to)
 	return nil
 }
 
 // Absent implements Mesh.
-func (c *castRecorder) Absent(netip.AddrPort) bool { return false }
+func (c *sendRecorder) Absent(netip.AddrPort) bool { return false }
 
 // Refused implements Mesh.
-func (c *castRecorder) Refused(netip.AddrPort) bool { return false }
+func (c *sendRecorder) Refused(netip.AddrPort) bool { return false }
 
-func (c *castRecorder) SendAll([]netip.AddrPort, frame.Msg) {}
+func (c *sendRecorder) SendAll([]netip.AddrPort, frame.Msg) {}
 
 // Guards against refusing a caller although other owners are idle: its job reaches an owner that was paused, 0.5 s after
 // it was sent, and is not begun. That owner's refusal must not count for all.
 func TestLateJobGoesToAnotherOwner(t *testing.T) {
 	is := is.New(t)
 	at := func(n byte) netip.AddrPort { return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, n}), 1) }
-	mesh := &castRecorder{}
-	n := NewNode(t.Context(), Config{VM: at(1), Domain: "a"}, Parts{
+	mesh := &sendRecorder{}
+	n := NewNode(t.Context(), Config{VM: at(1), Domain: "a"}, Deps{
 		Mesh: mesh, Timers: timer.New(timer.Wall{}), Clock: timer.Wall{}, Meter: meter.New(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})
 	now := time.Now()
--- a/internal/edge/serve/own.go
+++ b/internal/edge/serve/own.go
@@ -73,7 +73,7 @@
 func (d *Node) reachEndpoint(g claim.Group, to agent.Target) {
 	ctx, cancel := context.WithTimeout(d.ctx, reachTimeout)
 	defer cancel()
-	err := d.parts.Agent.Reach(ctx, to)
+	err := d.deps.Agent.Reach(ctx, to)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.reaching, g)
@@ -151,7 +151,7 @@
 // isDown reports whether a VM that was never heard is down: its machine says so, or it answers neither dials nor a probe
 // through the store. While a neighbour is heard, this VM is not cut off from its domain, and the dials suffice.
 func (d *Node) isDown(vm netip.AddrPort, c contacts) bool {
-	return d.parts.Mesh.Refused(vm) || (d.parts.Mesh.Absent(vm) && (c.neighbour || d.prober.result.noNeighbour()))
+	return d.deps.Mesh.Refused(vm) || (d.deps.Mesh.Absent(vm) && (c.neighbour || d.prober.result.noNeighbour()))
 }
 
 // hasAlternative reports whether another VM can serve this one's callers.
@@ -179,13 +179,13 @@
 // loseGroup drops the endpoints of a group that another VM owns.
 func (d *Node) loseGroup(now time.Time, g claim.Group, why string) {
 	for id := range d.roster.groups[g] {
-		if d.book.Owned(id) {
-			d.book.Lose(now, id, false, why)
+		if d.scheduler.Owned(id) {
+			d.scheduler.Lose(now, id, false, why)
 		}
 	}
 }
 
-// syncGroup applies a claim to the book: own the listed endpoints, or hand them over. It skips endpoints of a pool that
+// syncGroup applies a claim to the scheduler: own the listed endpoints, or hand them over. It skips endpoints of a pool that
 // no queue uses: their entries may be another writer's.
 func (d *Node) syncGroup(now time.Time, g claim.Group, held map[string]bool, p *plan.Plan) {
 	o := d.claims.Owns(g)
@@ -193,17 +193,17 @@
 	for id := range d.roster.groups[g] {
 		switch {
 		case o.HandingOver:
-			d.book.HandOver(id)
-			pending = pending || d.book.Owned(id)
-		case !held[id] && !d.book.Owned(id) && p.Uses(d.roster.all[id].Pool):
-			d.book.Own(d.roster.all[id], o.Fence)
+			d.scheduler.HandOver(id)
+			pending = pending || d.scheduler.Owned(id)
+		case !held[id] && !d.scheduler.Owned(id) && p.Uses(d.roster.all[id].Pool):
+			d.scheduler.Own(d.roster.all[id], o.Fence)
 		}
 	}
 	if !o.HandingOver {
 		d.dropUnreachable(now, g)
 		return
 	}
-	for _, id := range d.book.Release() {
+	for _, id := range d.scheduler.Release() {
 		d.log.Info("endpoint handed over", "endpoint", id, "group", g)
 	}
 	if !pending {
@@ -217,7 +217,7 @@
 func (d *Node) dropUnreachable(now time.Time, g claim.Group) {
 	silent, answering := 0, 0
 	for id := range d.roster.groups[g] {
-		switch ep := d.book.Find(id); {
+		switch ep := d.scheduler.Find(id); {
 		case ep == nil:
 		case ep.Silent:
 			silent++
@@ -303,7 +303,7 @@
 // ownedIDs lists the endpoints of a group that this VM has not released.
 func (d *Node) ownedIDs(g claim.Group) (ids []string) {
 	for id := range d.roster.groups[g] {
-		if d.book.Owned(id) {
+		if d.scheduler.Owned(id) {
 			ids = append(ids, id)
 		}
 	}
--- a/internal/edge/serve/perform.go
+++ b/internal/edge/serve/perform.go
@@ -36,10 +36,10 @@
 	stopTries = 6
 )
 
-// perform carries out the book's decisions; the caller holds the lock.
+// perform carries out the scheduler's decisions; the caller holds the lock.
 func (d *Node) perform() {
 	for {
-		actions := d.book.TakeActions()
+		actions := d.scheduler.TakeActions()
 		if len(actions.Starts)+len(actions.Stops)+len(actions.Replies)+len(actions.Renewals) == 0 {
 			return
 		}
@@ -71,7 +71,7 @@
 		return
 	}
 	m := &frame.JobAnswer{To: t.Key.Inc, Call: t.Key.Call, Answer: t.Answer, Load: d.loadFrame(d.load(now))}
-	if err := d.parts.Mesh.Send(t.Key.VM, m); err != nil {
+	if err := d.deps.Mesh.Send(t.Key.VM, m); err != nil {
 		d.log.Info("answer lost", "vm", t.Key.VM, "call", t.Key.Call, "outcome", t.Answer.Outcome.String(), "err", err)
 	}
 }
@@ -82,7 +82,7 @@
 // or has existed, and is the fastest way to find out. The caller has counted the first try with pace.Begin, and passes
 // its time limit.
 func (d *Node) start(s owner.Start, limit time.Duration) {
-	d.parts.Meter.AddStart()
+	d.deps.Meter.AddStart()
 	n := lease.RunID{Task: s.Run.Name, Num: s.Run.Num}
 	o := agent.Start{Name: n, Spec: s.Spec, Until: s.Until, Fence: s.Fence}
 	unanswered := 0
@@ -100,7 +100,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.book.StartResult(d.now(), s, unanswered, err)
+	d.scheduler.StartResult(d.now(), s, unanswered, err)
 	var refused *agent.RefusedError
 	if errors.As(err, &refused) {
 		d.handleRefusal(refused.Why, s.At, s.Fence)
@@ -115,7 +115,7 @@
 	defer d.pace.End()
 	ctx, cancel := context.WithTimeout(d.ctx, limit)
 	defer cancel()
-	err = d.parts.Agent.Start(ctx, target(ep), o)
+	err = d.deps.Agent.Start(ctx, target(ep), o)
 	switch {
 	case agent.Unanswered(err):
 		d.pace.RecordTimeout(began)
@@ -141,12 +141,12 @@
 func (d *Node) stop(s owner.Stop) {
 	for range stopTries {
 		ctx, cancel := context.WithTimeout(d.ctx, d.pace.Timeout())
-		err := d.parts.Agent.Stop(ctx, target(s.At), s.Name, s.Fence)
+		err := d.deps.Agent.Stop(ctx, target(s.At), s.Name, s.Fence)
 		cancel()
 		var refused *agent.RefusedError
 		if errors.As(err, &refused) && (refused.Why == agent.Fenced || refused.Why == agent.WrongInstance) {
 			d.mu.Lock()
-			d.book.Lose(d.now(), s.At.ID, refused.Why == agent.WrongInstance, "it refused a stop: "+refused.Why.String())
+			d.scheduler.Lose(d.now(), s.At.ID, refused.Why == agent.WrongInstance, "it refused a stop: "+refused.Why.String())
 			d.handleRefusal(refused.Why, s.At, s.Fence)
 			d.perform()
 			d.mu.Unlock()
@@ -170,9 +170,9 @@
 // never begin, so its task can start elsewhere without waiting for the lease.
 func (d *Node) recordStop(s owner.Stop) {
 	d.mu.Lock()
-	d.book.Stopped(d.now(), s.At, s.Name)
+	d.scheduler.Stopped(d.now(), s.At, s.Name)
 	d.perform()
-	check := s.At.Runs[s.Name] != nil && d.book.Find(s.At.ID) == s.At
+	check := s.At.Runs[s.Name] != nil && d.scheduler.Find(s.At.ID) == s.At
 	o := agent.Renew{Fence: s.At.Fence, Cursor: s.At.Cursor}
 	now := d.now()
 	d.mu.Unlock()
@@ -197,14 +197,14 @@
 
 // renew extends an endpoint's lease and collects ended runs while this VM owns it. It makes no calls to an idle endpoint.
 func (d *Node) renew(ep *lease.Endpoint, ch chan struct{}) {
-	defer d.parts.Agent.Forget(target(ep))
+	defer d.deps.Agent.Forget(target(ep))
 	for d.ctx.Err() == nil {
 		d.mu.Lock()
-		if d.book.Find(ep.ID) != ep {
+		if d.scheduler.Find(ep.ID) != ep {
 			if d.wakes[ep.ID] == ch {
 				delete(d.wakes, ep.ID)
 			}
-			if newer := d.book.Find(ep.ID); newer != nil {
+			if newer := d.scheduler.Find(ep.ID); newer != nil {
 				d.wakeRenewal(newer)
 			}
 			d.mu.Unlock()
@@ -241,7 +241,7 @@
 		grace = d.pace.Timeout()
 	}
 	ctx, cancel := context.WithTimeout(d.ctx, o.Wait+grace)
-	r, err := d.parts.Agent.Renew(ctx, target(ep), o)
+	r, err := d.deps.Agent.Renew(ctx, target(ep), o)
 	cancel()
 	if d.ctx.Err() != nil {
 		return
@@ -252,16 +252,16 @@
 	switch {
 	case err == nil:
 		d.pace.RecordAnswer(now)
-		d.book.Renewed(now, sent, ep, r)
+		d.scheduler.Renewed(now, sent, ep, r)
 	case errors.As(err, &refused) && (refused.Why == agent.Fenced || refused.Why == agent.WrongInstance):
-		d.book.Lose(now, ep.ID, refused.Why == agent.WrongInstance, "it refused a renewal: "+refused.Why.String())
+		d.scheduler.Lose(now, ep.ID, refused.Why == agent.WrongInstance, "it refused a renewal: "+refused.Why.String())
 		d.handleRefusal(refused.Why, ep, o.Fence)
 	default:
 		d.log.Info("look unanswered", "endpoint", ep.ID, "wait", o.Wait, "grace", grace, "runs", len(ep.Runs), "missed", ep.Missed+1, "err", err)
 		if !ep.Silent {
 			d.lossyUntil = now.Add(lossyFor)
 		}
-		d.book.RenewalFailed(now, ep, err)
+		d.scheduler.RenewalFailed(now, ep, err)
 	}
 	d.perform()
 	backoff := (err != nil && ep.Silent) || !ep.Synced
--- a/internal/edge/serve/probe.go
+++ b/internal/edge/serve/probe.go
@@ -102,11 +102,11 @@
 		case m.State == view.Alive:
 			c.heard++
 			c.neighbour = c.neighbour || m.Domain == d.cfg.Domain
-		case m.State == view.Suspect, m.State == view.Gone, m.State == view.Listed && d.parts.Mesh.Absent(m.VM):
+		case m.State == view.Suspect, m.State == view.Gone, m.State == view.Listed && d.deps.Mesh.Absent(m.VM):
 			c.missed++
 		}
 	}
-	c.refused = c.missed > c.heard && slices.ContainsFunc(d.view.Members(), func(m *view.Member) bool { return d.parts.Mesh.Refused(m.VM) })
+	c.refused = c.missed > c.heard && slices.ContainsFunc(d.view.Members(), func(m *view.Member) bool { return d.deps.Mesh.Refused(m.VM) })
 	return c
 }
 
@@ -122,7 +122,7 @@
 	switch m.State {
 	case view.Listed:
 		joining := now.Sub(d.began) < joinWindow || d.prober.result == ownerAnswered
-		return !c.neighbour && (c.heard == 0 || joining) && d.parts.Mesh.Absent(m.VM) && !d.parts.Mesh.Refused(m.VM)
+		return !c.neighbour && (c.heard == 0 || joining) && d.deps.Mesh.Absent(m.VM) && !d.deps.Mesh.Refused(m.VM)
 	case view.Suspect, view.Gone:
 		return c.heard == 0 || c.isCut()
 	default:
@@ -193,20 +193,20 @@
 
 // sendProbe posts a question and collects answers until one comes from an owner or the time is over.
 func (d *Node) sendProbe(ctx context.Context, wide bool) (result probeResult, by netip.AddrPort, err error) {
-	_, from, err := d.parts.Presence.Newest(ctx)
+	_, from, err := d.deps.Presence.Newest(ctx)
 	if err != nil {
 		return resultUnknown, by, fmt.Errorf("find the end of the probes: %w", err)
 	}
 	q := Probe{Domain: d.cfg.Domain, From: d.cfg.VM, Call: rand.Uint64(), Wide: wide}
 	began := d.now()
-	if err := d.parts.Presence.Post(ctx, q); err != nil {
+	if err := d.deps.Presence.Post(ctx, q); err != nil {
 		return resultUnknown, by, fmt.Errorf("post a probe: %w", err)
 	}
 	now := d.now()
 	until := now.Add(max(minProbeWait, probeWaitFactor*now.Sub(began)))
 	result = noneAnswered
 	for ; now.Before(until); now = d.now() {
-		b, err := d.parts.Presence.Next(ctx, from, feed.ReadOptions{Wait: until.Sub(now)})
+		b, err := d.deps.Presence.Next(ctx, from, feed.ReadOptions{Wait: until.Sub(now)})
 		if err != nil {
 			return resultUnknown, by, fmt.Errorf("read answers to a probe: %w", err)
 		}
--- a/internal/edge/serve/probe_test.go
+++ b/internal/edge/serve/probe_test.go
@@ -74,7 +74,7 @@
 				p.Topic, p.wg = fakes.NewTopic[Probe](), &sync.WaitGroup{}
 				p.Put("a", Probe{From: thirdVM, To: thirdVM, Call: 7, Owns: true}) // from an earlier incarnation
 				n := newNode(t)
-				n.parts.Presence = p
+				n.deps.Presence = p
 				got, _, err := n.sendProbe(t.Context(), false)
 				is.NoErr(err)
 				is.Equal(got, c.want)
@@ -90,7 +90,7 @@
 func TestProbeWithoutStoreIsUnknown(t *testing.T) {
 	is := is.New(t)
 	n := newNode(t)
-	n.parts.Presence = &probeTopic{Topic: fakes.NewTopic[Probe](), err: errStoreDown}
+	n.deps.Presence = &probeTopic{Topic: fakes.NewTopic[Probe](), err: errStoreDown}
 	got, _, err := n.sendProbe(t.Context(), false)
 	is.True(errors.Is(err, errStoreDown))
 	is.Equal(got, resultUnknown)
@@ -101,7 +101,7 @@
 	is := is.New(t)
 	n := newNode(t)
 	p := &probeTopic{Topic: fakes.NewTopic[Probe]()}
-	n.parts.Presence = p
+	n.deps.Presence = p
 	now := n.now()
 	n.mu.Lock()
 	n.claims.Decide(now.Add(time.Minute), false, []claim.Candidate{{Group: claim.Group{Domain: "a"}}}, nil)
@@ -136,7 +136,7 @@
 			is := is.New(t)
 			n := newNode(t)
 			p := &probeTopic{Topic: fakes.NewTopic[Probe]()}
-			n.parts.Presence = p
+			n.deps.Presence = p
 			if c.owns {
 				n.mu.Lock()
 				n.claims.Decide(n.now().Add(time.Minute), false, []claim.Candidate{{Group: claim.Group{Domain: "b"}}}, nil)
--- a/internal/edge/serve/relay.go
+++ b/internal/edge/serve/relay.go
@@ -25,12 +25,12 @@
 // initRelays sets up the topics that one VM of a failure domain reads for all.
 func (d *Node) initRelays() {
 	d.plans = (&feed.Relay[plan.Decl]{
-		Source: d.parts.Plans, IsReader: d.isReader, Share: d.sharePlans, PostTimeout: d.readerTimeout(planTimeout), OnFallback: d.logReaderSilent("plan"), OnCall: d.storeReached,
+		Source: d.deps.Plans, IsReader: d.isReader, Share: d.sharePlans, PostTimeout: d.readerTimeout(planTimeout), OnFallback: d.logReaderSilent("plan"), OnCall: d.storeReached,
 		Equal:       plan.Decl.Same,
 		RequestCopy: func() bool { return d.requestCopy(frame.SnapshotRequest{Plans: true}) }, KeepWaiting: func(time.Duration) bool { return false },
 	}).Init()
 	d.endpoints = (&feed.Relay[lease.Info]{
-		Source: d.parts.Endpoints, IsReader: d.isReader, Share: d.shareEndpoints, PostTimeout: d.readerTimeout(rosterTimeout), OnFallback: d.logReaderSilent("endpoints"), Equal: lease.Info.Same, OnCall: d.storeReached,
+		Source: d.deps.Endpoints, IsReader: d.isReader, Share: d.shareEndpoints, PostTimeout: d.readerTimeout(rosterTimeout), OnFallback: d.logReaderSilent("endpoints"), Equal: lease.Info.Same, OnCall: d.storeReached,
 		RequestCopy: func() bool { return d.requestCopy(frame.SnapshotRequest{Endpoints: true}) }, KeepWaiting: d.waitsForCopy,
 	}).Init()
 }
@@ -92,7 +92,7 @@
 
 // isExpected reports whether a VM is heard, or may be starting at the same time as this one.
 func (d *Node) isExpected(m *view.Member) bool {
-	return m.State == view.Alive || (m.State == view.Listed && !d.parts.Mesh.Absent(m.VM))
+	return m.State == view.Alive || (m.State == view.Listed && !d.deps.Mesh.Absent(m.VM))
 }
 
 const (
@@ -124,7 +124,7 @@
 	return to
 }
 
-func (d *Node) sharePlans(p feed.Post[plan.Decl]) { d.parts.Mesh.SendAll(d.neighbours(), planFrame(p)) }
+func (d *Node) sharePlans(p feed.Post[plan.Decl]) { d.deps.Mesh.SendAll(d.neighbours(), planFrame(p)) }
 
 func planFrame(p feed.Post[plan.Decl]) *frame.PlanUpdate {
 	m := &frame.PlanUpdate{From: p.From, To: p.To, Whole: p.Whole}
@@ -143,7 +143,7 @@
 }
 
 func (d *Node) shareEndpoints(p feed.Post[lease.Info]) {
-	d.parts.Mesh.SendAll(d.neighbours(), rosterFrame(p))
+	d.deps.Mesh.SendAll(d.neighbours(), rosterFrame(p))
 }
 
 func rosterFrame(p feed.Post[lease.Info]) *frame.EndpointUpdate {
@@ -299,7 +299,7 @@
 	if top == 0 {
 		return false
 	}
-	_ = d.parts.Mesh.Send(best[rand.N(len(best))], &m) // the request is repeated
+	_ = d.deps.Mesh.Send(best[rand.N(len(best))], &m) // the request is repeated
 	return true
 }
 
@@ -308,7 +308,7 @@
 func (d *Node) sendCopy(to netip.AddrPort, m *frame.SnapshotRequest) {
 	if m.Plans {
 		if p, ok := d.plans.Copy(); ok {
-			d.parts.Mesh.SendAll([]netip.AddrPort{to}, planFrame(p))
+			d.deps.Mesh.SendAll([]netip.AddrPort{to}, planFrame(p))
 		}
 	}
 	if !m.Endpoints {
@@ -316,7 +316,7 @@
 	}
 	p, ok := d.endpoints.Copy()
 	if ok {
-		d.parts.Mesh.SendAll([]netip.AddrPort{to}, rosterFrame(p))
+		d.deps.Mesh.SendAll([]netip.AddrPort{to}, rosterFrame(p))
 		return
 	}
 	d.mu.Lock()
@@ -336,6 +336,6 @@
 		return // copying 540 endpoints every 0.4 s was half of a VM's allocations
 	}
 	if p, ok := d.endpoints.Copy(); ok {
-		d.parts.Mesh.SendAll(to, rosterFrame(p))
+		d.deps.Mesh.SendAll(to, rosterFrame(p))
 	}
 }
--- a/internal/edge/serve/resubmit_test.go
+++ b/internal/edge/serve/resubmit_test.go
@@ -24,7 +24,7 @@
 
 // handRecorder records which jobs were handed to which VMs.
 type handRecorder struct {
-	castRecorder
+	sendRecorder
 	down bool // nobody can be reached
 	sent []frame.RunJob
 }
@@ -72,7 +72,7 @@
 		defer cancel()
 		at := func(n byte) netip.AddrPort { return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, n}), 1) }
 		mesh := &handRecorder{}
-		n := NewNode(ctx, Config{VM: at(1), Domain: "a", Limits: lease.Limits{Hold: time.Second, Stop: 50 * time.Millisecond, Resend: 1300 * time.Millisecond}}, Parts{
+		n := NewNode(ctx, Config{VM: at(1), Domain: "a", Limits: lease.Limits{Hold: time.Second, Stop: 50 * time.Millisecond, Resend: 1300 * time.Millisecond}}, Deps{
 			Mesh: mesh, Timers: timer.New(timer.Wall{}), Clock: timer.Wall{}, Meter: meter.New(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		})
 		n.plan.Store(&plan.Plan{Version: 1, Queues: []plan.Queue{{Name: "q", Prefix: "/q/", Pool: "p"}}})
--- a/internal/edge/serve/start_test.go
+++ b/internal/edge/serve/start_test.go
@@ -21,7 +21,7 @@
 func newNode(t *testing.T) *Node {
 	t.Helper()
 	at := netip.MustParseAddrPort("127.0.0.1:1")
-	return NewNode(t.Context(), Config{VM: at, Domain: "a", Limits: lease.Limits{Hold: time.Second, Stop: 50 * time.Millisecond, Resend: 1300 * time.Millisecond}}, Parts{
+	return NewNode(t.Context(), Config{VM: at, Domain: "a", Limits: lease.Limits{Hold: time.Second, Stop: 50 * time.Millisecond, Resend: 1300 * time.Millisecond}}, Deps{
 		Timers: timer.New(timer.Wall{}), Clock: timer.Wall{}, Meter: meter.New(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})
 }
@@ -54,8 +54,8 @@
 	for _, g := range n.claims.Groups() {
 		n.syncGroup(now, g, nil, p)
 	}
-	is.True(n.book.Owned("ours"))
-	is.True(!n.book.Owned("other"))
+	is.True(n.scheduler.Owned("ours"))
+	is.True(!n.scheduler.Owned("other"))
 }
 
 // Guards against a large fleet that learns the endpoints a second late after a loss of all VMs: a VM that knows none yet
@@ -63,8 +63,8 @@
 func TestEarlyCopyRequestIsAnsweredLater(t *testing.T) {
 	is := is.New(t)
 	n := newNode(t)
-	sent := &spreadRecorder{}
-	n.parts.Mesh = sent
+	sent := &sendAllRecorder{}
+	n.deps.Mesh = sent
 	asker := netip.MustParseAddrPort("127.0.0.1:2")
 	n.sendCopy(asker, askEndpoints())
 	n.sendCopy(asker, askEndpoints())
@@ -82,14 +82,14 @@
 
 func askEndpoints() *frame.SnapshotRequest { return &frame.SnapshotRequest{Endpoints: true} }
 
-// spreadRecorder records the receivers of spread messages.
-type spreadRecorder struct {
-	castRecorder
+// sendAllRecorder records the receivers of messages sent by SendAll.
+type sendAllRecorder struct {
+	sendRecorder
 	to []netip.AddrPort
 }
 
-// Spread implements Mesh.
-func (s *spreadRecorder) SendAll(to []netip.AddrPort, _ frame.Msg) { s.to = append(s.to, to...) }
+// SendAll implements Mesh.
+func (s *sendAllRecorder) SendAll(to []netip.AddrPort, _ frame.Msg) { s.to = append(s.to, to...) }
 
 // singleEndpoint is a store that lists one endpoint.
 type singleEndpoint struct{}
--- a/internal/edge/serve/stop_test.go
+++ b/internal/edge/serve/stop_test.go
@@ -37,13 +37,13 @@
 	n, s := newOwningNode(t, illAgent{})
 	ep := s.At
 	n.mu.Lock()
-	n.book.Unanswered(time.Now(), ep, s.Run, context.DeadlineExceeded)
-	stop := n.book.TakeActions().Stops[0]
+	n.scheduler.Unanswered(time.Now(), ep, s.Run, context.DeadlineExceeded)
+	stop := n.scheduler.TakeActions().Stops[0]
 	n.mu.Unlock()
 	n.stop(stop)
 	n.mu.Lock()
 	later := time.Now().Add(time.Millisecond)
-	n.book.Renewed(later, later, ep, lease.Report{Clock: 2})
+	n.scheduler.Renewed(later, later, ep, lease.Report{Clock: 2})
 	_, open := ep.Runs[lease.RunID{Task: s.Run.Name, Num: s.Run.Num}]
 	n.mu.Unlock()
 	is.True(open) // it may still begin
--- a/internal/edge/serve/submit.go
+++ b/internal/edge/serve/submit.go
@@ -92,7 +92,7 @@
 		d.abandonCall(c, job.Answer{Outcome: job.Unknown, Reason: job.Deadline, Detail: "its time ran out"})
 	}
 	d.log.Info("answer", "job", j.ID, "queue", j.Queue, "outcome", c.answer.Outcome.String(), "reason", string(c.answer.Reason), "owner", c.owner, "tried", len(c.tried), "took", d.now().Sub(now).Round(time.Millisecond), "retry", c.answer.Retry, "detail", c.answer.Detail)
-	d.parts.Meter.ObserveJob(j.Queue, fmt.Sprint(j.Rank), &c.answer, d.now().Sub(now), 0)
+	d.deps.Meter.ObserveJob(j.Queue, fmt.Sprint(j.Rank), &c.answer, d.now().Sub(now), 0)
 	return c.answer
 }
 
@@ -205,7 +205,7 @@
 	j := *c.job // the call keeps the job as it arrived
 	j.Age, j.TimeLeft = now.Sub(c.arrived), c.deadline.Sub(now)
 	if vm == d.cfg.VM {
-		d.book.Submit(now, owner.Key{VM: vm, Inc: d.cfg.Inc, Call: c.n}, &j)
+		d.scheduler.Submit(now, owner.Key{VM: vm, Inc: d.cfg.Inc, Call: c.n}, &j)
 		return nil
 	}
 	if err := d.handOver(now, vm, c, &j); err != nil {
@@ -225,7 +225,7 @@
 		return fmt.Errorf("hand over to %s: %w", vm, errUnheard)
 	}
 	j.AskedAt, c.handedAt = p.Theirs(now), now
-	if err := d.parts.Mesh.Send(vm, &frame.RunJob{To: p.Inc, Call: c.n, Job: *j}); err != nil {
+	if err := d.deps.Mesh.Send(vm, &frame.RunJob{To: p.Inc, Call: c.n, Job: *j}); err != nil {
 		return fmt.Errorf("hand over: %w", err)
 	}
 	return nil
@@ -313,11 +313,11 @@
 	}
 	d.finishCall(c, a)
 	if c.owner == d.cfg.VM {
-		d.book.Cancel(d.now(), owner.Key{VM: c.owner, Inc: d.cfg.Inc, Call: c.n}, a.Detail)
+		d.scheduler.Cancel(d.now(), owner.Key{VM: c.owner, Inc: d.cfg.Inc, Call: c.n}, a.Detail)
 		return
 	}
 	if c.owner.IsValid() {
-		if err := d.parts.Mesh.Send(c.owner, &frame.CancelJob{At: d.now(), Call: c.n}); err != nil {
+		if err := d.deps.Mesh.Send(c.owner, &frame.CancelJob{At: d.now(), Call: c.n}); err != nil {
 			d.log.Info("cancel not sent to owner", "job", c.job.ID, "owner", c.owner, "err", err) // the owner ends the job once keepalives stop
 		}
 	}
@@ -367,7 +367,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.book.Waiting(q.Name), job.Answer{Outcome: job.Done}
+	return d.scheduler.Waiting(q.Name), job.Answer{Outcome: job.Done}
 }
 
 // Leaving implements Dispatcher.
--- a/internal/edge/wire/pool.go
+++ b/internal/edge/wire/pool.go
@@ -138,7 +138,7 @@
 	p.idle[at] = kept
 }
 
-// Ask implements flow.Runner. It opens a new connection, because an answer on one
+// Probe implements flow.Runner. It opens a new connection, because an answer on one
 // connection proves nothing about the others.
 func (p *Pool) Probe(ctx context.Context, at netip.AddrPort) (leaving bool, err error) {
 	raw, err := p.dial(ctx, at)
--- a/internal/mesh/frame/msg.go
+++ b/internal/mesh/frame/msg.go
@@ -46,7 +46,7 @@
 	VM     netip.AddrPort `msgpack:"v"`
 	Inc    uint64         `msgpack:"i"`
 	Domain string         `msgpack:"d"`
-	// Extended says that the sender can read Ack and packed messages.
+	// Counts says that the sender can read Ack and packed messages.
 	Counts bool `msgpack:"c,omitempty"`
 }
 
@@ -73,9 +73,9 @@
 	Use     map[string]TenantUse `msgpack:"u,omitempty"` // use by tenants with quotas
 	Claims  []Claim              `msgpack:"c,omitempty"` // groups of leased endpoints owned here
 	Power   float32              `msgpack:"p,omitempty"` // number of cores that the sender may use
-	// StoreDown says that the platform's store does not answer the sender.
+	// Storeless says that the platform's store does not answer the sender.
 	Storeless bool `msgpack:"n,omitempty"`
-	// LatePeers are the peers whose heartbeats reach the sender late.
+	// Late lists the peers whose heartbeats reach the sender late.
 	Late []LatePeer `msgpack:"z,omitempty"`
 	// Strained says that the sender's messages reach most other VMs late.
 	Strained bool `msgpack:"x,omitempty"`
@@ -129,7 +129,7 @@
 	Urgent   int      // urgent tasks, which may also use the reserve
 }
 
-// Minus returns the room that is left after n more tasks have started.
+// Less returns the room that is left after n more tasks have started.
 func (r Room) Less(n int) Room {
 	return Room{Free: max(0, r.Free-n), Urgent: max(0, r.Urgent-n)}
 }
--- a/internal/mesh/link/hub.go
+++ b/internal/mesh/link/hub.go
@@ -146,21 +146,21 @@
 	return nil
 }
 
-// Cast implements flow.Mesh.
+// Send implements flow.Mesh.
 func (h *Hub) Send(to netip.AddrPort, m frame.Msg) error {
 	data, err := frame.Append(nil, m)
 	if err != nil {
-		return fmt.Errorf("cast to %s: %w", to, err)
+		return fmt.Errorf("send to %s: %w", to, err)
 	}
 	s := h.sender(to)
 	if s == nil {
-		return fmt.Errorf("cast to %s: %w", to, ErrFull)
+		return fmt.Errorf("send to %s: %w", to, ErrFull)
 	}
 	h.count(frame.Purpose(m), "out", len(data))
 	return s.enqueue(data, m)
 }
 
-// Spread implements serve.Mesh. It encodes the message once for all.
+// SendAll implements serve.Mesh. It encodes the message once for all.
 func (h *Hub) SendAll(to []netip.AddrPort, m frame.Msg) {
 	data, err := frame.Append(nil, m)
 	if err != nil {
@@ -226,7 +226,7 @@
 	return s != nil && s.refused()
 }
 
-// Reach implements flow.Mesh.
+// Connect implements flow.Mesh.
 func (h *Hub) Connect(ctx context.Context, vm netip.AddrPort) (uint64, error) {
 	s := h.sender(vm)
 	for s != nil {
@@ -236,15 +236,15 @@
 		s.notify()
 		select {
 		case <-ctx.Done():
-			return 0, fmt.Errorf("reach %s: %w", vm, ctx.Err())
-		case <-time.After(reachPoll):
+			return 0, fmt.Errorf("connect to %s: %w", vm, ctx.Err())
+		case <-time.After(connectPoll):
 		}
 	}
-	return 0, fmt.Errorf("reach %s: %w", vm, ErrFull)
+	return 0, fmt.Errorf("connect to %s: %w", vm, ErrFull)
 }
 
-// reachPoll is how often Reach checks whether the link is up.
-const reachPoll = 5 * time.Millisecond
+// connectPoll is how often Connect checks whether the link is up.
+const connectPoll = 5 * time.Millisecond
 
 // Flush waits until all connected peers have acknowledged what was sent to them, so
 // that no result is lost when the process ends.
--- a/internal/mesh/link/sender.go
+++ b/internal/mesh/link/sender.go
@@ -69,7 +69,7 @@
 	keep := s.online || s.inc != 0 && frame.Answering(m)
 	if s.keptBytes+len(data) > maxKeptBytes || !keep {
 		s.notify() // connect for the next message
-		return fmt.Errorf("cast to %s: %w", s.to, ErrFull)
+		return fmt.Errorf("send to %s: %w", s.to, ErrFull)
 	}
 	s.kept = append(s.kept, data)
 	s.keptBytes += len(data)
--- a/internal/mesh/view/clock_test.go
+++ b/internal/mesh/view/clock_test.go
@@ -14,7 +14,7 @@
 // rounding allows for the test's clocks, which are rounded to nanoseconds.
 const rounding = time.Microsecond
 
-// Guards against a keepalive that counts as newer than it is: ClockAt must never be ahead of the member's real clock.
+// Guards against a keepalive that counts as newer than it is: Theirs must never be ahead of the member's real clock.
 func TestClockEstimateIsNeverAhead(t *testing.T) {
 	vm := netip.MustParseAddrPort("10.0.0.2:1")
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/mesh/view/links.go
+++ b/internal/mesh/view/links.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// SetRemoteLinks sets how many VMs of other failure domains this VM keeps links to.
+// Links sets how many VMs of other failure domains this VM keeps links to.
 func (v *View) Links(n int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -61,7 +61,7 @@
 	return xxhash.Sum64String(a.String() + "|" + b.String())
 }
 
-// GetsBeats reports whether a member is sent heartbeats: if this VM picked it, or it picked this VM and is
+// Speaks reports whether a member is sent heartbeats: if this VM picked it, or it picked this VM and is
 // heard. A leaving member still needs them: it has jobs with owners, and would take their silence for a loss.
 func (m *Member) Speaks() bool {
 	return m.Picked || m.State == Alive || m.State == Suspect || m.State == Left
--- a/internal/mesh/view/member.go
+++ b/internal/mesh/view/member.go
@@ -47,7 +47,7 @@
 // exceeds it is delay.
 func (m *Member) Age(now, stamp time.Time) time.Duration { return now.Sub(stamp) - m.Skew }
 
-// ClockAt returns a lower bound of the member's clock at a time of this VM's clock.
+// Theirs returns a lower bound of the member's clock at a time of this VM's clock.
 //
 // A heartbeat was sent before it was read, so Skew is at least the difference of the two clocks. Possible
 // drift since then is subtracted.
--- a/internal/mesh/view/strain.go
+++ b/internal/mesh/view/strain.go
@@ -27,7 +27,7 @@
 	maxStrain = time.Minute
 )
 
-// LateMembers returns the members whose heartbeats are late or overdue.
+// Lates returns the members whose heartbeats are late or overdue.
 func (v *View) Lates(now time.Time) (all []frame.LatePeer) {
 	for _, m := range v.Members() {
 		if m.State != Alive && m.State != Suspect {
--- a/internal/mesh/view/view.go
+++ b/internal/mesh/view/view.go
@@ -42,7 +42,7 @@
 	VM    netip.AddrPort
 	Inc   uint64
 	State State
-	// Restarted is set when a new incarnation replaced an earlier one: work given to the earlier
+	// Reborn is set when a new incarnation replaced an earlier one: work given to the earlier
 	// one is lost.
 	Reborn bool
 }
@@ -89,7 +89,7 @@
 	return v.members[vm]
 }
 
-// DomainVMs returns the VMs of this failure domain that hold slots, including this VM unless it leaves.
+// Domain returns the VMs of this failure domain that hold slots, including this VM unless it leaves.
 // A listed VM counts for a while before it is heard: otherwise a VM that just started would take all slots of
 // the domain.
 func (v *View) Domain(now time.Time, leaving bool) []netip.AddrPort {
@@ -163,7 +163,7 @@
 	v.markStale()
 }
 
-// RecordBeat records a heartbeat. One of an older incarnation is dropped: its process has been replaced.
+// Hear records a heartbeat. One of an older incarnation is dropped: its process has been replaced.
 func (v *View) Hear(now time.Time, from frame.Hello, b *frame.Heartbeat) (Change, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -193,7 +193,7 @@
 	return c, c.Reborn || m.State != was.State
 }
 
-// SetRoom updates a member's room between heartbeats.
+// Load updates a member's room between heartbeats.
 func (v *View) Load(vm netip.AddrPort, r frame.Room) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -261,7 +261,7 @@
 // isLarge reports whether heartbeats inside this domain are as infrequent as between domains.
 func (v *View) isLarge() bool { return v.neighbours.Load() >= largeDomain }
 
-// GetsEveryBeat reports whether a member is sent every heartbeat, not only each RemoteFactor-th.
+// Often reports whether a member is sent every heartbeat, not only each RemoteFactor-th.
 func (v *View) Often(m *Member) bool { return m.Domain == v.domain && !v.isLarge() }
 
 // silence returns how long a member has been silent, scaled to the heartbeat period inside a domain.
--- a/internal/plat/fakes/leased_test.go
+++ b/internal/plat/fakes/leased_test.go
@@ -12,12 +12,12 @@
 	"dahliawinch/internal/task/lease"
 )
 
-// board has one task, which crashes its endpoint.
-type board struct{}
+// crashObserver has one task, which crashes its endpoint.
+type crashObserver struct{}
 
-func (board) Work(string) Work                                        { return Work{Run: time.Second, Crash: true} }
-func (board) RunStarted(time.Time, string, string, int)               {}
-func (board) RunEnded(time.Time, string, string, int, lease.EndState) {}
+func (crashObserver) Work(string) Work                                        { return Work{Run: time.Second, Crash: true} }
+func (crashObserver) RunStarted(time.Time, string, string, int)               {}
+func (crashObserver) RunEnded(time.Time, string, string, int, lease.EndState) {}
 
 // The soak test reported a task that ran twice, on two instances of one endpoint. A crashed endpoint was
 // crashed again before its next instance started, so a third instance replaced the second, which kept running.
@@ -27,7 +27,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		crashed := 0
-		e := NewLeased(lease.Info{ID: "e", Size: job.Size{Cores: 1}}, lease.Limits{Hold: time.Minute}, board{}, 0, 1)
+		e := NewLeased(lease.Info{ID: "e", Size: job.Size{Cores: 1}}, lease.Limits{Hold: time.Minute}, crashObserver{}, 0, 1)
 		e.Crashed = func() { crashed++ }
 		start := agent.Start{Name: lease.RunID{Task: "t", Num: 1}, Until: e.clock() + time.Minute.Milliseconds()}
 		is.NoErr(e.Start(t.Context(), "e", start))
--- a/internal/task/flow/deps.go
+++ b/internal/task/flow/deps.go
@@ -55,7 +55,7 @@
 // once and in order, or that incarnation is reported gone.
 type Mesh interface {
 	Send(to netip.AddrPort, m frame.Msg) error
-	// Reach opens a link to a VM if there is none and returns the VM's incarnation.
+	// Connect opens a link to a VM if there is none and returns the VM's incarnation.
 	Connect(ctx context.Context, vm netip.AddrPort) (inc uint64, err error)
 }
 
--- a/internal/task/flow/incarnation_test.go
+++ b/internal/task/flow/incarnation_test.go
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// Reach implements Mesh.
+// Connect implements Mesh.
 func (m *sentMessages) Connect(context.Context, netip.AddrPort) (uint64, error) { return 0, ErrNoLink }
 
 // takeSent returns the messages of type M that were sent since the last call.
--- a/internal/task/flow/peertask.go
+++ b/internal/task/flow/peertask.go
@@ -33,7 +33,7 @@
 	if m := n.view.Find(from.VM); m == nil || m.Inc != from.Inc || m.Age(now, g.At) < maxGiveAge {
 		started = n.startGiven(from, g, now)
 	}
-	if started < len(g.Tasks) { // no Took message means that all were started
+	if started < len(g.Tasks) { // no TasksAccepted message means that all were started
 		n.reply(from.VM, &frame.TasksAccepted{To: from.Inc, Group: g.Group, Count: started, Room: n.room(n.now())})
 	}
 }
--- a/internal/task/flow/spill.go
+++ b/internal/task/flow/spill.go
@@ -28,7 +28,7 @@
 	inc      uint64
 	tasks    []givenTask // in the order of the message
 	pending  int         // tasks that the peer has not reported on
-	answered bool        // the peer sent Took
+	answered bool        // the peer sent TasksAccepted
 }
 
 type givenTask struct {
--- a/internal/task/health/book_test.go
+++ b/internal/task/health/book_test.go
@@ -14,7 +14,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(n)}), 80)
 }
 
-func book(n int) *Tracker {
+func newTracker(n int) *Tracker {
 	b := New(NoisyGain)
 	slots := map[netip.AddrPort]int{}
 	for i := range n {
@@ -32,7 +32,7 @@
 // at once, is free again and is picked again.
 func TestEndpointIsEjectedAfterThreeFailures(t *testing.T) {
 	is := is.New(t)
-	b := book(6)
+	b := newTracker(6)
 	for i := range 6 {
 		note(b, now, i, "q", OK)
 	}
@@ -51,7 +51,7 @@
 // endpoint, and the failures are attributed to the endpoints.
 func TestOneTenantsFailuresEjectNoEndpoint(t *testing.T) {
 	is := is.New(t)
-	b := book(6)
+	b := newTracker(6)
 	for i := range 6 {
 		note(b, now, i, "bad", OK) // this kind succeeded until now
 	}
@@ -64,7 +64,7 @@
 
 func TestEjectionsAreCapped(t *testing.T) {
 	is := is.New(t)
-	b := book(6)
+	b := newTracker(6)
 	for i := range 18 {
 		note(b, now, i%6, string(rune('a'+i)), OK)
 	}
@@ -78,7 +78,7 @@
 
 func TestStragglerGetsAnEighthOfItsSlots(t *testing.T) {
 	is := is.New(t)
-	b := book(6)
+	b := newTracker(6)
 	for range 200 {
 		for i := range 6 {
 			ran := 200 * time.Millisecond
--- a/internal/task/job/job.go
+++ b/internal/task/job/job.go
@@ -166,7 +166,7 @@
 // ErrPartial is returned for a done answer that lacks results.
 var ErrPartial = errors.New("answer lacks results")
 
-// CheckComplete checks that a done answer has one result for each of n tasks.
+// Whole checks that a done answer has one result for each of n tasks.
 func (a *Answer) Whole(n int) error {
 	if a.Outcome == Done && len(a.Results) != n {
 		return fmt.Errorf("%d results for %d tasks: %w", len(a.Results), n, ErrPartial)
--- a/internal/task/owner/job.go
+++ b/internal/task/owner/job.go
@@ -40,7 +40,7 @@
 	limits    lease.Limits
 }
 
-// By implements lease.Job.
+// EndBy implements lease.Job.
 func (e *entry) EndBy() time.Time { return e.keepalive.Add(e.limits.Outlive()) }
 
 // fresh reports whether the last keepalive is recent enough to start the job's tasks.
--- a/internal/task/ticket/book.go
+++ b/internal/task/ticket/book.go
@@ -122,7 +122,7 @@
 	return u, Fresh
 }
 
-// Withdraw queries a ticket and, if it was not used, prevents any later use.
+// Void queries a ticket and, if it was not used, prevents any later use.
 //
 // A copy of the submission may still be in transit. If the query only read the state,
 // the caller would get "not run" and the copy would start afterwards. So the query uses
--- a/internal/task/ticket/held_test.go
+++ b/internal/task/ticket/held_test.go
@@ -19,8 +19,8 @@
 	}
 	for range b.N {
 		before := live()
-		book := NewStore(self, 1, []byte("s"), Limits{Term: 1 << 40, Uses: 1 << 30, Bytes: 1 << 40})
-		g, err := book.Issue(began, "crew", uses)
+		store := NewStore(self, 1, []byte("s"), Limits{Term: 1 << 40, Uses: 1 << 30, Bytes: 1 << 40})
+		g, err := store.Issue(began, "crew", uses)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -30,10 +30,10 @@
 				b.Fatal(err)
 			}
 			t.Nth = i
-			u, _ := book.Claim(began, t, "crew", 1)
-			book.End(began, t, u, &job.Answer{Outcome: job.Done}, 0)
+			u, _ := store.Claim(began, t, "crew", 1)
+			store.End(began, t, u, &job.Answer{Outcome: job.Done}, 0)
 		}
 		b.ReportMetric((live()-before)/uses, "B/ticket")
-		runtime.KeepAlive(book)
+		runtime.KeepAlive(store)
 	}
 }
--- a/internal/task/tries/attempt.go
+++ b/internal/task/tries/attempt.go
@@ -64,7 +64,7 @@
 // State returns the attempt's state.
 func (a *Attempt) State() State { return a.state }
 
-// Apply applies an event; on error the state is unchanged.
+// On applies an event; on error the state is unchanged.
 func (a *Attempt) On(e Event) error {
 	next := transitions[a.state][e]
 	if next == invalid {
--- a/internal/tool/bench/control.go
+++ b/internal/tool/bench/control.go
@@ -43,7 +43,7 @@
 	msgs  int
 }
 
-// Cast implements flow.Mesh.
+// Send implements flow.Mesh.
 func (s *sink) Send(_ netip.AddrPort, m frame.Msg) error {
 	data, err := frame.Append(nil, m)
 	s.mu.Lock()
@@ -53,7 +53,7 @@
 	return err
 }
 
-// Reach implements flow.Mesh.
+// Connect implements flow.Mesh.
 func (*sink) Connect(context.Context, netip.AddrPort) (uint64, error) { return 0, flow.ErrNoLink }
 
 // idleRunner runs no tasks; its endpoints answer every probe.
@@ -64,7 +64,7 @@
 	return flow.Result{Status: flow.Unsent}
 }
 
-// Ask implements flow.Runner.
+// Probe implements flow.Runner.
 func (idleRunner) Probe(context.Context, netip.AddrPort) (bool, error) { return false, nil }
 
 // controlSpan is the length of the measurement of each size.
--- a/internal/tool/grid/grid.go
+++ b/internal/tool/grid/grid.go
@@ -200,7 +200,7 @@
 	}
 	log := slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: slog.LevelInfo})).With("vm", at)
 	timers := timer.New(v.clock)
-	v.Node = serve.NewNode(ctx, serve.Config{VM: at, Domain: domain, Inc: v.Inc, Limits: Limits, RemoteFactor: 2}, serve.Parts{
+	v.Node = serve.NewNode(ctx, serve.Config{VM: at, Domain: domain, Inc: v.Inc, Limits: Limits, RemoteFactor: 2}, serve.Deps{
 		Platform: serve.Platform{
 			Agent: &vmAgent{g, v}, Plans: &vmTopic[plan.Decl]{g.Plans, g, v, &g.OtherReads}, Endpoints: &vmTopic[lease.Info]{g.Roster, g, v, &g.EndpointReads},
 			VMs: &registry{vmTopic[serve.VM]{g.Registry, g, v, &g.OtherReads}}, Presence: &presence{vmTopic[serve.Probe]{g.Probes, g, v, &g.OtherReads}},
--- a/internal/tool/grid/judge.go
+++ b/internal/tool/grid/judge.go
@@ -56,7 +56,7 @@
 	j.work[task] = w
 }
 
-// Work implements fakes.Board.
+// Work implements fakes.Observer.
 func (j *Judge) Work(task string) fakes.Work {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -65,7 +65,7 @@
 
 func jobOf(task string) string { id, _, _ := strings.Cut(task, "."); return id }
 
-// Began implements fakes.Board.
+// RunStarted implements fakes.Observer.
 func (j *Judge) RunStarted(at time.Time, ep, task string, num int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -95,7 +95,7 @@
 	j.runStarts[task+"@"+ep] = at
 }
 
-// Over implements fakes.Board.
+// RunEnded implements fakes.Observer.
 func (j *Judge) RunEnded(at time.Time, ep, task string, num int, how lease.EndState) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/internal/tool/grid/net.go
+++ b/internal/tool/grid/net.go
@@ -134,7 +134,7 @@
 	links map[*VM]*link
 }
 
-// Cast implements serve.Mesh.
+// Send implements serve.Mesh.
 func (p *vmMesh) Send(to netip.AddrPort, m frame.Msg) error {
 	p.g.Messages.Add(1)
 	if p.g.CountBytes {
@@ -178,7 +178,7 @@
 	g.ControlBytes.Add(int64(len(b)))
 }
 
-// Spread implements serve.Mesh.
+// SendAll implements serve.Mesh.
 func (p *vmMesh) SendAll(to []netip.AddrPort, m frame.Msg) {
 	for _, vm := range to {
 		_ = p.Send(vm, m) // messages may be lost
--- a/internal/tool/model/entry.go
+++ b/internal/tool/model/entry.go
@@ -309,5 +309,5 @@
 // keptAlive is a job with the send time of its last keepalive.
 type keptAlive struct{ sent time.Time }
 
-// By implements lease.Job.
+// EndBy implements lease.Job.
 func (k keptAlive) EndBy() time.Time { return k.sent.Add(limits.Outlive()) }
--- a/internal/tool/scene/load_test.go
+++ b/internal/tool/scene/load_test.go
@@ -70,7 +70,7 @@
 		t.Run(fmt.Sprint(c.load), func(t *testing.T) {
 			t.Parallel()
 			s := play(t, DefaultSetup(c.load))
-			got, best := mean(ratios(s.Results())), mean(OracleRatios(s.Trace(), s.Endpoints*s.Slots, s.Stretch, s.Warm))
+			got, best := mean(ratios(s.Results())), mean(OracleRatios(s.Trace(), s.Endpoints*s.Slots, s.SizeWeight, s.Warm))
 			v := s.Judge.Verdict()
 			waste := perTask(s, meter.Refusal, meter.Probe, meter.Forward) - localityWaste(t, c.load)
 			t.Logf("ratio %.3f, oracle %.3f, jobs %d, done %d; a task: refusal %.4f probe %.4f forward %.4f gossip %.4f, beyond locality %.4f",
--- a/internal/tool/scene/net.go
+++ b/internal/tool/scene/net.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// Ask implements flow.Runner.
+// Probe implements flow.Runner.
 func (w *runner) Probe(_ context.Context, at netip.AddrPort) (bool, error) {
 	e := w.s.endpoints[at]
 	time.Sleep(2 * w.delay(e))
@@ -185,7 +185,7 @@
 	links map[*VM]*link
 }
 
-// Cast implements flow.Mesh.
+// Send implements flow.Mesh.
 func (p *vmMesh) Send(to netip.AddrPort, m frame.Msg) error {
 	vm := p.s.vmAt(to)
 	if vm == nil || vm.dead.Load() || p.from.dead.Load() {
@@ -211,7 +211,7 @@
 	return nil
 }
 
-// Reach implements flow.Mesh.
+// Connect implements flow.Mesh.
 func (p *vmMesh) Connect(_ context.Context, vm netip.AddrPort) (uint64, error) {
 	time.Sleep(2 * crossDelay)
 	v := p.s.vmAt(vm)
--- a/internal/tool/scene/scene.go
+++ b/internal/tool/scene/scene.go
@@ -26,21 +26,21 @@
 
 // Setup configures a deployment, its load and its faults.
 type Setup struct {
-	Domains   int
-	VMs       int
-	Endpoints int
-	Slots     int // of an endpoint
-	Policy    string
-	Spill     bool // as in flow.Config, like the next two
-	Stretch   float64
-	Foresight bool
-	Lag       time.Duration // by which the platform's list is stale
-	Doc       *doc.Document
-	Mix       mix.Mix
-	Load      float64       // offered slot time over the capacity of all slots
-	Warm      time.Duration // before the measured span
-	Span      time.Duration // measured, after Warm
-	Seed      uint64
+	Domains     int
+	VMs         int
+	Endpoints   int
+	Slots       int // of an endpoint
+	Policy      string
+	Spill       bool // as in flow.Config, like the next two
+	SizeWeight  float64
+	EarlyReject bool
+	Lag         time.Duration // by which the platform's list is stale
+	Doc         *doc.Document
+	Mix         mix.Mix
+	Load        float64       // offered slot time over the capacity of all slots
+	Warm        time.Duration // before the measured span
+	Span        time.Duration // measured, after Warm
+	Seed        uint64
 	// Rate scales the load at a time since the start; nil is 1 throughout.
 	Rate func(at time.Duration) float64
 	// Faults are injected during the load, each at its time.
@@ -62,7 +62,7 @@
 func DefaultSetup(load float64) Setup {
 	return Setup{
 		Domains: 4, VMs: 8, Endpoints: 50, Slots: 8, Policy: place.Homes, Spill: true,
-		Stretch: flow.DefaultSizeWeight, Foresight: true,
+		SizeWeight: flow.DefaultSizeWeight, EarlyReject: true,
 		Doc: mix.Document(), Mix: mix.Default(), Load: load,
 		LogRules:  fakes.LogRules{Rate: 400, Synced: 5 * time.Millisecond, Keep: time.Hour},
 		Retention: time.Hour,
@@ -170,7 +170,7 @@
 	node, err := flow.New(ctx, flow.Config{
 		Self: at, Domain: domain, Inc: v.Inc, Secret: []byte(fmt.Sprint(s.Seed, v.Inc)), Policy: s.Policy,
 		Memory: flow.DefaultMemory, TicketTerm: flow.DefaultTicketTerm, MaxTickets: flow.DefaultMaxTickets,
-		RetryRatio: flow.DefaultRetryRatio, Spill: s.Spill, SizeWeight: s.Stretch, EarlyReject: s.Foresight,
+		RetryRatio: flow.DefaultRetryRatio, Spill: s.Spill, SizeWeight: s.SizeWeight, EarlyReject: s.EarlyReject,
 	}, flow.Deps{
 		Timers: timers, Runner: &runner{s: s, from: v}, Mesh: &vmMesh{s: s, from: v, links: map[*VM]*link{}}, Meter: m,
 		Log: log,
