--- a/internal/base/pace/pace.go
+++ b/internal/base/pace/pace.go
@@ -31,7 +31,8 @@
 	// minStreak is how many calls sent after the last answer must also have timed out in a
 	// row: while one call in two is lost, the time-out then grows slower than it shrinks.
 	minStreak = 4
-	// maxBackoff bounds the factor by which the time-out grows; the others are its steps.
+	// maxBackoff bounds the factor by which the time-out grows. The factor is multiplied by
+	// backoffGrowth after time-outs and by backoffDecay after each answer.
 	maxBackoff    = 8
 	backoffGrowth = 1.5
 	backoffDecay  = 0.95
--- a/internal/base/timer/clock_test.go
+++ b/internal/base/timer/clock_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// Guards against a VM that, after a step of the time of day, refuses every job of another for
-// as long as both live: timestamps were compared with a clock that follows the steps, as times
+// Guards against a VM that refuses every job of another after a step of the time of day, until
+// one of the two restarts: timestamps were compared with a clock that follows such steps, as times
 // without a monotonic reading do.
 func TestBootClockIgnoresTimeOfDaySteps(t *testing.T) {
 	is := is.New(t)
--- a/internal/conf/doc/doc.go
+++ b/internal/conf/doc/doc.go
@@ -20,12 +20,12 @@
 	Endpoints Endpoints         `json:"endpoints"`
 	Limits    Limits            `json:"limits"`
 	Reserve   float64           `json:"reserve"` // share of the slots kept for urgent work
-	// Patience is how long routine work may wait in its failure domain before messages to
-	// other domains are spent on it; bulk work waits longer, urgent work not at all.
+	// Patience is how long routine work may wait for a VM's own slots before it is given to
+	// other VMs, which costs messages; bulk work waits longer, urgent work not at all.
 	Patience valid.Span `json:"patience"`
 }
 
-// Class sets how jobs of one kind are treated.
+// Class sets how the jobs that name it are treated.
 type Class struct {
 	Band     job.Band   `json:"band"`
 	Deadline valid.Span `json:"deadline"`       // default for jobs that set none
--- a/internal/conf/fold/fold.go
+++ b/internal/conf/fold/fold.go
@@ -41,7 +41,7 @@
 	verdictOrder []string
 	history      []Revision // the latest revisions in force, oldest first
 
-	trustAny bool // tests only: trust any refresh, to show that the tests catch it
+	trustAny bool // tests only: trust any refresh, to show that the tests detect this fault
 }
 
 type entry struct {
@@ -90,7 +90,7 @@
 	}
 }
 
-// restart begins a run of reading without gaps at an offset and drops pending declarations.
+// restart starts reading without gaps at an offset and drops pending declarations.
 func (f *Fold) restart(offset int64) {
 	f.next, f.readFrom = offset, offset
 	f.known = false
--- a/internal/conf/fold/record.go
+++ b/internal/conf/fold/record.go
@@ -20,8 +20,9 @@
 type Record struct {
 	Kind Kind   `json:"kind"`
 	Base uint64 `json:"base"` // declare: the revision that it is based on
-	// Found founds a new history where no VM knows a revision any more: it wins whatever its
-	// base, with its offset plus one as its revision, which is above every earlier one.
+	// Found marks a declaration that starts a new history because no VM knows a revision any
+	// more: it wins whatever its base. Its revision is its offset plus one, which is above every
+	// earlier revision.
 	Found  bool            `json:"found,omitempty"`
 	Rev    uint64          `json:"rev,omitempty"`  // refresh: the revision in force
 	Asof   int64           `json:"asof,omitempty"` // refresh: the last offset that its writer had applied
--- a/internal/conf/keeper/keeper.go
+++ b/internal/conf/keeper/keeper.go
@@ -38,7 +38,7 @@
 
 	mu        sync.Mutex
 	fold      *fold.Fold
-	confirmed time.Time     // when records were last read from the log
+	confirmed time.Time     // when records were last read; Renew also moves it, to set the next refresh
 	jitter    time.Duration // added to the time of the next refresh
 	changed   chan struct{} // closed at each change of fold
 }
@@ -159,6 +159,7 @@
 	if err != nil {
 		k.logger.Warn("appending a refresh to the log failed", "err", err)
 		k.mu.Lock()
+		// The refresh is due again after a twentieth of the retention.
 		k.confirmed = k.timers.Now().Add(k.retention/20 - fold.RefreshInterval(k.retention) - k.jitter)
 		k.mu.Unlock()
 	}
--- a/internal/task/batch/batch.go
+++ b/internal/task/batch/batch.go
@@ -23,14 +23,14 @@
 type Job struct {
 	ID       string        `msgpack:"i"` // chosen by the caller; the same on resubmission
 	Spec     string        `msgpack:"x,omitempty"`
-	Queue    string        `msgpack:"q"` // jobs of one queue have similar run times
-	Pool     string        `msgpack:"p"` // the endpoints that may run it
-	Rank     int           `msgpack:"r"` // 0 is served first
-	Attempts int           `msgpack:"a"` // failed runs of one task after which the job fails
-	Stretch  float64       `msgpack:"f"` // latency objective: this multiple of the work
-	Slack    time.Duration `msgpack:"s"` // plus this much
-	TimeLeft time.Duration `msgpack:"l"` // until the answer is useless
-	Age      time.Duration `msgpack:"g,omitempty"`
+	Queue    string        `msgpack:"q"`           // jobs of one queue have similar run times
+	Pool     string        `msgpack:"p"`           // the endpoints that may run it
+	Rank     int           `msgpack:"r"`           // 0 is served first
+	Attempts int           `msgpack:"a"`           // failed runs of one task after which the job fails
+	Stretch  float64       `msgpack:"f"`           // latency objective: this multiple of the work
+	Slack    time.Duration `msgpack:"s"`           // plus this much
+	TimeLeft time.Duration `msgpack:"l"`           // until the answer is useless
+	Age      time.Duration `msgpack:"g,omitempty"` // since it arrived at the VM that answers the caller
 	Waited   time.Duration `msgpack:"w,omitempty"` // at other VMs, before it arrived here
 	// AskedAt is the earliest time at which the VM that answers the caller may have sent the job, by the clock
 	// of the VM that runs it; zero at the sending VM.
@@ -38,7 +38,7 @@
 	Steps   []Step    `msgpack:"t"`
 }
 
-// Step is a group of identical tasks that start together once the steps in After are done.
+// Step is a group of identical tasks that may start once the steps in After are done.
 type Step struct {
 	Count    int           `msgpack:"c"`
 	Need     job.Size      `msgpack:"n"`
--- a/internal/task/flow/admit.go
+++ b/internal/task/flow/admit.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// waitMargin scales the predicted wait, since jobs that arrive later may overtake.
+	// waitMargin scales the predicted wait, since jobs that arrive later may start first.
 	waitMargin = 1.25
 	// minRetryAfter keeps refused callers from coming back at once.
 	minRetryAfter = 100 * time.Millisecond
--- a/internal/task/flow/attempt.go
+++ b/internal/task/flow/attempt.go
@@ -21,7 +21,7 @@
 	meterDuplicate = meter.Duplicate
 )
 
-// owner receives the report of an attempt: a task of this VM or of a peer. Each attempt
+// owner receives the report of an attempt; it is a localTask or a peerTask. Each attempt
 // ends with exactly one of ran, failed, lost and notStarted.
 type owner interface {
 	begin() bool
@@ -75,7 +75,7 @@
 }
 
 // begin checks right before the send whether the task is still wanted. If this VM was
-// paused before, the caller may already have been told that the job ended.
+// paused before, the caller may already have an answer that says that the job ended.
 func (a *attempt) begin() bool {
 	now := a.n.now()
 	if now.After(a.due) || a.n.ctx.Err() != nil || !a.owner.begin() {
--- a/internal/task/flow/config.go
+++ b/internal/task/flow/config.go
@@ -61,6 +61,7 @@
 	}
 }
 
+// receiveWant sends the current revision to a peer that requested it.
 func (n *Node) receiveWant(from frame.Hello) {
 	d := n.revisions.Load()
 	if d == nil {
@@ -71,6 +72,7 @@
 	}
 }
 
+// receiveHave offers a peer's revision to the store.
 func (n *Node) receiveHave(h *frame.Document) {
 	if d := n.revisions.Load(); d != nil {
 		(*d).Offer(h.Revision)
--- a/internal/task/flow/drain.go
+++ b/internal/task/flow/drain.go
@@ -10,7 +10,7 @@
 const drainPoll = 20 * time.Millisecond
 
 // Drain stops taking work and returns when nothing is in progress. Submissions that
-// still arrive, because the balancer learns late of the drain, are forwarded to peers.
+// still arrive, because the balancer notices the drain late, are forwarded to peers.
 func (n *Node) Drain(ctx context.Context) error {
 	n.draining.Store(true)
 	n.deps.Log.Info("draining", "active", n.active.Load())
--- a/internal/task/flow/forward.go
+++ b/internal/task/flow/forward.go
@@ -244,7 +244,7 @@
 }
 
 // castAfterConnect opens a link and sends the submission again: a VM that has just
-// started hears others before its own links are up.
+// started receives messages of others before its own links are up.
 func (n *Node) castAfterConnect(ctx context.Context, vm netip.AddrPort, inc uint64, s *frame.Submit) bool {
 	ctx, cancel := context.WithTimeout(ctx, reachTimeout)
 	defer cancel()
--- a/internal/task/flow/node.go
+++ b/internal/task/flow/node.go
@@ -35,7 +35,7 @@
 	// retryBurst the number allowed at once.
 	minRetryRate = 5
 	retryBurst   = 100
-	// maxLead is the slot time that a tenant may be ahead of the others.
+	// maxLead is the slot time per weight that a tenant may be ahead of the least served one.
 	maxLead = 4 * time.Second
 	// probeAfter is the silence after which an endpoint is probed.
 	probeAfter = time.Second
@@ -145,7 +145,7 @@
 // Incarnation returns the number that identifies this start of the process.
 func (n *Node) Incarnation() uint64 { return n.cfg.Inc }
 
-// handlePause discounts the silence of peers during a pause of this VM.
+// handlePause handles a pause of this VM: the silence of peers during it doesn't count.
 func (n *Node) handlePause(gap time.Duration) {
 	n.deps.Log.Warn("vm was paused", "gap", gap)
 	n.view.Resume(n.now())
--- a/internal/task/flow/peertask.go
+++ b/internal/task/flow/peertask.go
@@ -26,7 +26,8 @@
 	ended   []frame.TaskResult
 }
 
-// receiveGive starts as many tasks as have free slots and returns the others.
+// receiveGive handles StartTasks: it starts as many tasks as there are free slots and returns
+// the others.
 func (n *Node) receiveGive(from frame.Hello, g *frame.StartTasks) {
 	now := n.now()
 	started := 0
--- a/internal/task/flow/spill.go
+++ b/internal/task/flow/spill.go
@@ -16,7 +16,7 @@
 	// minRoom is the room that makes a peer worth a message, unless fewer tasks wait.
 	minRoom = 8
 	// maxGiveAge is the age from which a received group is not started: its sender has
-	// very likely answered its callers.
+	// very likely answered its callers by then.
 	maxGiveAge = time.Second
 )
 
@@ -38,7 +38,8 @@
 	sent time.Time
 }
 
-// bulkPatienceFactor is how many times longer bulk tasks wait before they cost messages.
+// bulkPatienceFactor is how many times longer than routine tasks bulk tasks may wait here
+// before they are given to peers.
 const bulkPatienceFactor = 5
 
 // spill gives waiting tasks to peers with free slots, first in this VM's failure
@@ -184,7 +185,7 @@
 	}
 }
 
-// receiveTook requeues the tasks that the peer did not start.
+// receiveTook handles TasksAccepted: it requeues the tasks that the peer did not start.
 func (n *Node) receiveTook(from frame.Hello, t *frame.TasksAccepted) {
 	n.view.Load(from.VM, t.Room)
 	n.spillMu.Lock()
@@ -200,7 +201,7 @@
 	n.pump()
 }
 
-// receiveBack records the tasks that ended on a peer.
+// receiveBack handles TaskResults: it records the tasks that ended on a peer.
 func (n *Node) receiveBack(from frame.Hello, b *frame.TaskResults) {
 	n.view.Load(from.VM, b.Room)
 	now := n.now()
--- a/internal/task/health/tracker.go
+++ b/internal/task/health/tracker.go
@@ -83,13 +83,13 @@
 
 type state struct {
 	slots       int
-	strikes     float64
+	strikes     float64 // weighted recent failures
 	ejected     bool
 	unreachable bool
-	retryAt     time.Time
-	backoff     time.Duration
-	logSlowness float64
-	samples     int
+	retryAt     time.Time     // when one trial task may start while ejected or unreachable
+	backoff     time.Duration // the latest time until retryAt
+	logSlowness float64       // average log of run time over expected run time
+	samples     int           // run times in logSlowness
 }
 
 // maxKinds bounds the memory that invented kinds can take.
--- a/internal/task/job/job.go
+++ b/internal/task/job/job.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Band is the scheduling rank of a class; a lower band never waits behind a higher one.
+// Band is the scheduling rank of a class; a more urgent band never waits behind a less urgent one.
 type Band uint8
 
 // The bands, most urgent first.
--- a/internal/task/lease/lease.go
+++ b/internal/task/lease/lease.go
@@ -26,7 +26,7 @@
 	Labels []string // including the rack
 	Size   job.Size
 	Drains bool
-	Cold   time.Duration // remaining time of slow runs after its start
+	Cold   time.Duration // how much longer runs are slow here, after the endpoint's start
 }
 
 // Same reports whether o describes the endpoint identically. Cold is not compared,
@@ -186,7 +186,7 @@
 }
 
 // Leasable reports whether a run of job j may start here: no requested lease ends after the job's EndBy, and a new
-// lease would have at least half of the usual length, which it has not while a run here must end soon.
+// lease would have at least half of the usual length. It is shorter while a run here must end soon.
 func (e *Endpoint) Leasable(now time.Time, j Job) bool {
 	return !e.leaseEnd.After(j.EndBy()) && 2*e.maxLease(now) >= e.limits.Lease()
 }
--- a/internal/task/lease/limits.go
+++ b/internal/task/lease/limits.go
@@ -43,7 +43,7 @@
 	// at most confirmFraction of Outlive is reserved for it.
 	maxConfirm      = 300 * time.Millisecond
 	confirmFraction = 1.0 / 3
-	// minStops is the minimum time reserved for it, in multiples of Stop.
+	// minStops is the minimum time reserved for the same, in multiples of Stop.
 	minStops = 2
 	// keepalivesFresh is the number of keepalives sent within Fresh; maxInterval bounds the time between two.
 	keepalivesFresh = 2.5
--- a/internal/task/owner/admit.go
+++ b/internal/task/owner/admit.go
@@ -12,7 +12,7 @@
 const (
 	// workDiscount reduces the expected work wherever the objective is proportional to it: a job that
 	// turns out shorter than expected has less time to wait. The estimate, combined from the kind's
-	// mean and the declared run time, is off by a factor of e^0.28.
+	// mean and the declared run time, is off by a factor of 1.3 (e^0.28).
 	workDiscount = 0.8
 	// overhead is the time to send, start, collect and answer a job on a VM with time and bandwidth to
 	// spare. answerOverhead is the part of it that isn't spent on sending orders.
@@ -38,10 +38,10 @@
 	return time.Duration((e.Stretch-1)*workDiscount*float64(work)) + e.Slack - sc.jobOverhead(e) - e.Waited - now.Sub(e.arrived)
 }
 
-// lateWaitBudget returns how long the tasks of a job that will miss its objective may wait for its
-// answer to be of use. Most of the caller's time is left, so that it can try another VM if it is
-// refused in the end. Time waited before the job arrived here doesn't count: as long
-// as there is room, even a late answer is given.
+// lateWaitBudget returns how long the tasks of a job that will miss its objective may wait and its
+// answer still be of use. It leaves most of the caller's time, so that the caller can try another VM
+// if the job is refused in the end. Time waited before the job arrived here doesn't count: as long as
+// there is room, even a late answer is given.
 func (sc *Scheduler) lateWaitBudget(e *entry, now time.Time) time.Duration {
 	work := sc.chain(e.Job)
 	objective := time.Duration(e.Stretch*workDiscount*float64(work)) + e.Slack
@@ -55,7 +55,7 @@
 // maxWaitPart is the part of a caller's time that a job may wait and then be refused.
 const maxWaitPart = 0.35
 
-// rankCount is the number of ranks that are distinguished when measuring pressure.
+// rankCount is the number of ranks, from 0, whose pressure is measured apart; later ones count as the last.
 const rankCount = 4
 
 // workRate is a running mean of the core-seconds of work that arrive per second.
@@ -88,7 +88,7 @@
 	return f.rate * math.Exp(-now.Sub(f.at).Seconds()/inflowWindow.Seconds())
 }
 
-// pressure returns the part of the pool that arriving work of higher ranks will occupy.
+// pressure returns the part of the pool that arriving work of ranks before the given one will occupy.
 func (sc *Scheduler) pressure(now time.Time, rank int) float64 {
 	total, incoming := 0.0, 0.0
 	for _, s := range sc.order {
@@ -154,13 +154,13 @@
 		rank = rankCount
 	}
 	if rank > 0 && wait > 0 {
-		// Work of higher ranks that arrives in the meantime goes first.
+		// Work of earlier ranks that arrives in the meantime goes first.
 		wait = time.Duration(float64(wait) / max(minShare, 1-sc.pressure(now, rank)))
 	}
 	return wait
 }
 
-// minShare is the smallest share of a pool that lower ranks are assumed to get.
+// minShare is the smallest share of a pool that later ranks are assumed to get.
 const minShare = 0.25
 
 // places lists when each place for a task of this need becomes free, the earliest first.
@@ -210,5 +210,5 @@
 }
 
 // overloadPart is the pressure, as a part of the pool, from which late jobs are refused. In a 2.5-fold
-// burst 0.70 of the worth was earned; with late jobs waiting for idle room instead, 0.66.
+// burst, 0.70 of the jobs' worth is earned; if late jobs wait for idle room instead, 0.66.
 const overloadPart = 1.0
--- a/internal/task/owner/cordon.go
+++ b/internal/task/owner/cordon.go
@@ -7,7 +7,7 @@
 
 // cordonGrace is how long jobs that have begun may start their remaining tasks in a failure domain
 // that was just cordoned; without it their finished runs are wasted. Operators allow seconds for a
-// cordon, but it must hold on all VMs within 300 ms, a few of which pass before it reaches this VM.
+// cordon, but it must hold on all VMs within 300 ms, and part of that passes before it reaches this VM.
 const cordonGrace = 150 * time.Millisecond
 
 // Cordon starts or ends the cordon of a failure domain: its endpoints get no new work while running
--- a/internal/task/owner/crash.go
+++ b/internal/task/owner/crash.go
@@ -11,8 +11,8 @@
 
 const (
 	// maxTaskLosses is how many endpoints may be lost under a task before it is given up. One loss proves
-	// little: up to three tasks share an endpoint, and endpoints also fail on their own. The users allow
-	// two more: one may be hidden by another crashing job, one follows if the caller submits again.
+	// little: up to three tasks share an endpoint, and endpoints also fail on their own. The users accept
+	// two losses more: one that another crashing job hides, and one after the caller submits the job again.
 	maxTaskLosses = 2
 	// maxExemptions is how many losses of a task are attributed to outages. A task that crashes endpoints
 	// while others come and go is given up after two more losses, and is not started again after that.
@@ -46,7 +46,7 @@
 // its endpoints fail together and no job ran on most of them: no task is suspected. A rack's endpoints
 // have several owners, so each owner waits for the losses of the others.
 //
-// Such a job is never answered as failed: an owner sees that an endpoint is silent, but not why. One
+// The job of a suspected task is never answered as failed: an owner sees that an endpoint is silent, but not why. One
 // that is cut off or restarts on its own may be lost twice under an innocent task.
 func (sc *Scheduler) recordLostRuns(now time.Time, s *endpoint, ended []lease.Finished) {
 	var runs []*lease.Run
@@ -155,7 +155,8 @@
 
 // exemptionLimit returns how many losses of a task may be attributed to the outage. A task that has
 // begun on two of its endpoints gets none: the second was still up when the first was lost. A job that
-// ran on most of them may be the cause, with another for the rest, or just be wide: it gets one.
+// ran on all of them gets none either. One that ran on most may have crashed those, and another job
+// the rest, or it may just have many tasks: it gets one.
 func (o outage) exemptionLimit() int {
 	switch {
 	case o.lost < minOutage || o.withJob == o.lost || o.withTask > 1:
--- a/internal/task/owner/crash_test.go
+++ b/internal/task/owner/crash_test.go
@@ -46,9 +46,9 @@
 	is.Equal(sc.Jobs(), 1) // the other goes on
 }
 
-// The endpoint of a task is silent until its lease has run out, and then the next one; both restart on
-// their own, one at this owner and others at its peers. If the two losses were blamed on the task, its
-// job would be answered as failed though none of its tasks has failed.
+// The endpoint of a task is silent until its lease has run out, and so is the next one that the task
+// starts on; both restart on their own, as endpoints of other owners do. If both losses were attributed
+// to the task, its job would be answered as failed though none of its tasks has failed.
 func TestTaskOnFlappingEndpointsEndsUnknown(t *testing.T) {
 	is := is.New(t)
 	sc := newScheduler(64, 64, 64, 64)
--- a/internal/task/owner/dispatch.go
+++ b/internal/task/owner/dispatch.go
@@ -55,7 +55,7 @@
 		last := len(st.waiting) - 1
 		k := st.waiting[last]
 		if len(sc.pending) > 0 && sc.awaitsVerdict(batch.Task{Job: e.ID, Step: i, Index: k}.String()) {
-			return true // the tasks before it are suspected as well
+			return true // those before it in the list are suspected as well
 		}
 		s := sc.pick(now, e, &e.Steps[i], batch.Task{Job: e.ID, Step: i, Index: k})
 		if s == nil {
@@ -135,8 +135,8 @@
 }
 
 // successWait is how long the last attempt of a task waits for an endpoint with a successful run that
-// started after the task first failed: two or three of the shortest runs. Failed attempts follow each
-// other within milliseconds, before it is known which endpoints are broken.
+// started after the task first failed: as long as two or three of the shortest runs take. Failed attempts
+// follow each other within milliseconds, before it is known which endpoints are broken.
 const successWait = 200 * time.Millisecond
 
 // awaitsSuccess reports whether a task's last attempt should not be made on an endpoint yet.
--- a/internal/task/owner/endpoints.go
+++ b/internal/task/owner/endpoints.go
@@ -9,7 +9,7 @@
 	"dahliawinch/internal/task/lease"
 )
 
-// Own takes ownership of an endpoint, with a fence above all known ones.
+// Own takes ownership of an endpoint; fence must be above all known fences of it.
 func (sc *Scheduler) Own(in lease.Info, fence uint64) {
 	if s := sc.endpoints[in.ID]; s != nil {
 		if !s.lost {
@@ -31,8 +31,8 @@
 	sc.renew(s)
 }
 
-// updateSlots counts the slots of all endpoints again and passes them to the health checks, which
-// reduce them after failures.
+// updateSlots counts the slots of all endpoints again and passes them to the health tracker, which
+// reduces them after failures.
 func (sc *Scheduler) updateSlots() {
 	slots := make(map[netip.AddrPort]int, len(sc.order))
 	for _, s := range sc.order {
@@ -124,7 +124,8 @@
 	return nil
 }
 
-// endedBy returns the latest time at which a run that is over by now can have ended: that of its lease, if past.
+// endedBy returns the latest time at which a run that is over by now can have ended: the end of its
+// endpoint's lease if that is past, else now.
 func (s *endpoint) endedBy(now time.Time) time.Time {
 	if lapse := s.LeaseEnd(); !lapse.IsZero() && lapse.Before(now) {
 		return lapse
@@ -136,12 +137,12 @@
 	sc.actions.Renewals = append(sc.actions.Renewals, Renewal{s.Endpoint})
 }
 
-// Load is what other VMs need to know to send jobs here.
+// Load is the load of an owner's endpoints, which other VMs use to decide where to send jobs.
 type Load struct {
 	Free  float64       // cores that a job could use now
 	Total float64       // cores that are open to work
 	Ahead [3]float64    // core-seconds waiting, of ranks up to 0, 1 and any
-	Lag   time.Duration // how long the owner takes to send orders
+	Lag   time.Duration // how long the owner takes to send orders; set by the caller of Scheduler.Load
 }
 
 // Load summarizes the state for the other VMs.
--- a/internal/task/owner/events.go
+++ b/internal/task/owner/events.go
@@ -12,9 +12,9 @@
 	"dahliawinch/internal/task/lease"
 )
 
-// StartResult processes a start's last error, after a number of sends without an answer. After one of
-// those, a refusal only says that the run isn't there now: the order may still arrive, or the run may
-// have ended.
+// StartResult processes the result of a start: the error of its last send, and silent, the number of
+// sends that got no answer. If there were any, a refusal only says that the run isn't there now: an
+// earlier order may still arrive, or the run may have ended.
 func (sc *Scheduler) StartResult(now time.Time, s Start, silent int, err error) {
 	var refused *agent.RefusedError
 	switch {
--- a/internal/task/owner/job.go
+++ b/internal/task/owner/job.go
@@ -26,7 +26,7 @@
 	steps     []step
 	stepsLeft int // steps that are not done
 	runs      map[*lease.Run]*lease.Endpoint
-	begun     bool // a run of it was confirmed or listed
+	begun     bool // a start of it was confirmed, or a run ended that may have begun
 	answered  bool // its final answer was given
 	late      bool // it will miss its objective
 	moves     int  // runs that were stopped to restart elsewhere
@@ -99,7 +99,7 @@
 	return false
 }
 
-// outcome returns what the caller of an unfinished job is told: refused only if no run can have
+// outcome returns the outcome for the answer to an unfinished job: Refused only if no run can have
 // started.
 func (e *entry) outcome() job.Outcome {
 	if e.begun || len(e.runs) > 0 {
--- a/internal/task/owner/keepalive_test.go
+++ b/internal/task/owner/keepalive_test.go
@@ -32,7 +32,7 @@
 	is.Equal(reported, []time.Duration{390 * time.Millisecond})
 }
 
-// Guards against a histogram that includes an owner's pause after the lease of its runs ran out.
+// Guards against a histogram that counts runs as going on during an owner's pause, though their lease ran out.
 func TestOutlivedEndsWithTheLease(t *testing.T) {
 	is := is.New(t)
 	sc := resending(64, 5*time.Second)
--- a/internal/task/owner/loss.go
+++ b/internal/task/owner/loss.go
@@ -25,7 +25,7 @@
 	lossRetention = 4 * time.Second
 	// sameLossWindow is how far apart two reports of one loss may be, since their delays differ.
 	sameLossWindow = 500 * time.Millisecond
-	// maxLosses is the limit for one heartbeat. More add no information: no job ran on most of so many.
+	// maxLosses is the limit for one heartbeat. More change no verdict: no job ran on most of that many.
 	maxLosses = 32
 )
 
--- a/internal/task/owner/needs.go
+++ b/internal/task/owner/needs.go
@@ -25,8 +25,8 @@
 	minSlots = 4
 )
 
-// needSpread lists the multiples of the mean need over which fill averages: needs differ by a fifth
-// between jobs, so that tasks of 33 cores fill more of 64 than one of them does.
+// needSpread lists the multiples of the mean need over which fill averages. Needs differ by a fifth
+// between jobs: with a mean of 33 cores, only one average task fits on 64, but two smaller ones do.
 var needSpread = [...]float64{0.85, 1, 1.15}
 
 func (n *needStats) add(j *batch.Job) {
--- a/internal/task/owner/needs_test.go
+++ b/internal/task/owner/needs_test.go
@@ -11,9 +11,9 @@
 	"dahliawinch/internal/task/job"
 )
 
-// If what tasks can fill, and how many run at once, are the figures of a deployment of large tasks, one
-// of small tasks refuses late jobs while a sixth of its cores is free, and an endpoint that runs thirty
-// of them is limited to two after one failure.
+// With constants that fit large tasks for fill and slots, a deployment of small tasks refuses late jobs
+// while a sixth of its cores is free, and an endpoint that runs thirty of them is limited to two after
+// one failure.
 func TestFillAndSlotsFollowTheNeeds(t *testing.T) {
 	for _, c := range []struct {
 		name  string
--- a/internal/task/owner/owner_test.go
+++ b/internal/task/owner/owner_test.go
@@ -118,7 +118,7 @@
 }
 
 // A start gets no answer, then the caller leaves or its time runs out. If only confirmed starts count
-// as begun, the caller is told that its job did not run though it may have.
+// as begun, the job is answered as refused though it may have run.
 func TestUnansweredStartIsNeverReportedRefused(t *testing.T) {
 	is := is.New(t)
 	sc := newScheduler(64)
@@ -164,7 +164,7 @@
 	is.Equal(len(a.Starts), 0)
 }
 
-// A run that began before an endpoint broke is done after another one failed there. If that clears the
+// A run that began before an endpoint broke ends well after another one failed there. If that clears the
 // failure, a task that failed on two endpoints is tried on one of them again, though a good one has room, and
 // its job fails. Seen as "run failed" of runs 2 and 3 of one task at one endpoint, 205 ms apart.
 func TestOlderRunDoesNotClearFailure(t *testing.T) {
@@ -314,8 +314,8 @@
 	is.True(replies[0].Answer.Retry > 0)
 }
 
-// Jobs too wide to be done in time are refused, and the next would be a little late. If refused work
-// counts as pressure, it is refused on a quiet day, though it would delay nobody.
+// Jobs with too many tasks to be done in time are refused, and the next job would be a little late. If
+// the refused work counts as pressure, that job is refused too, though it would delay nobody.
 func TestLateJobIsAcceptedWhileNobodyWaits(t *testing.T) {
 	is := is.New(t)
 	sc := newScheduler(64)
@@ -333,7 +333,7 @@
 }
 
 // A job is accepted, waits, and can't be in time any more while the pool is overloaded. If it is held
-// as long as an answer is of any use, its caller learns of the refusal when most of its time is over.
+// as long as an answer is of any use, its caller gets the refusal when most of its time is over.
 func TestWaitingJobIsRefusedWhenItsObjectiveIsLost(t *testing.T) {
 	is := is.New(t)
 	sc := newScheduler(64)
--- a/internal/task/owner/progress.go
+++ b/internal/task/owner/progress.go
@@ -9,8 +9,8 @@
 
 const (
 	// judgeAfterPart is the part of its expected time after which a run's progress is judged: by then most
-	// runs have done more than half of their work, and a run on an endpoint that has become three times
-	// slower less than a quarter.
+	// runs have done more than half of their work, while a run on an endpoint that has become three times
+	// slower has done less than a quarter.
 	judgeAfterPart = 0.7
 	// slowPercent is the run time, in percent of the usual one, from which an endpoint counts as slow: no
 	// job meets its objective there that would meet it elsewhere. Endpoints differ by a factor of 1.6, and
@@ -32,10 +32,10 @@
 
 // judgeProgress updates an endpoint's health from the progress of the runs that it has just listed.
 //
-// Ended runs show too late that an endpoint has become slow: they take longest there, and it gets more
-// work meanwhile. Late jobs have their slowest runs on one endpoint. Progress shows the speed early:
-// while eight of 48 endpoints take 6.5 times as long, 0.96 of the worth is earned instead of 0.91
-// (TestSlowEndpointsAreKnownByRunsThatGoOn).
+// Ended runs show too late that an endpoint has become slow: runs take longest there, and it gets more
+// work meanwhile. The symptom is late jobs whose slowest runs are all on one endpoint. Progress shows the
+// speed early: while eight of 48 endpoints take 6.5 times as long, 0.96 of the jobs' worth is earned
+// instead of 0.91 (TestSlowEndpointsAreKnownByRunsThatGoOn).
 func (sc *Scheduler) judgeProgress(now time.Time, s *endpoint) {
 	for _, r := range s.Runs {
 		e := r.Job.(*entry)
--- a/internal/task/owner/progress_test.go
+++ b/internal/task/owner/progress_test.go
@@ -33,8 +33,8 @@
 	sc.Renewed(now, now, ep, r)
 }
 
-// An endpoint becomes slow during a run. If the run is waited for, the job is late by the time that the
-// task takes there, while another endpoint is idle.
+// An endpoint becomes slow during a run. If the run is left to end there, the job is late, while another
+// endpoint is idle.
 func TestRunOnASlowEndpointIsMoved(t *testing.T) {
 	is := is.New(t)
 	sc := newScheduler(64, 64, 64, 64)
--- a/internal/task/owner/review.go
+++ b/internal/task/owner/review.go
@@ -19,7 +19,7 @@
 	sc.dispatch(now)
 }
 
-// Keepalive records that the VM of a job's caller still waited for it at a time of this VM's clock.
+// Keepalive records that the VM of a job's caller still waited for it at the given time, by this VM's clock.
 func (sc *Scheduler) Keepalive(now time.Time, key Key, at time.Time) {
 	e := sc.jobs[key]
 	if e == nil || e.answered || !at.After(e.keepalive) {
@@ -32,8 +32,8 @@
 	}
 }
 
-// CancelMatching ends all jobs of a VM that was lost or replaced: nobody waits for them any more, and
-// their callers will submit them again elsewhere.
+// CancelMatching ends the jobs for whose key gone returns true, because their VM was lost or replaced:
+// nobody waits for them any more, and their callers will submit them again elsewhere.
 func (sc *Scheduler) CancelMatching(now time.Time, gone func(Key) bool, why string) {
 	for k, e := range sc.jobs {
 		if !e.answered && gone(k) {
@@ -47,7 +47,7 @@
 func (sc *Scheduler) Tick(now time.Time) {
 	for _, s := range sc.order {
 		ended := s.ExpireLease(now)
-		if !s.lost { // another VM owns a lost one: its silence says nothing
+		if !s.lost { // a lost one has another owner, so it is not renewed from here and its silence is no sign
 			sc.recordLostRuns(now, s, ended)
 		}
 		sc.runsEnded(now, s, ended, "lease ran out")
--- a/internal/task/owner/scheduler.go
+++ b/internal/task/owner/scheduler.go
@@ -68,7 +68,8 @@
 type Config struct {
 	Limits       lease.Limits
 	RemoteFactor float64 // how many times longer a task runs away from its data
-	// VerdictDelay is how long after the first sign of a loss other owners may report theirs; 0 without other owners.
+	// VerdictDelay is the time after the first sign of a loss within which other owners report theirs; 0
+	// without other owners.
 	VerdictDelay time.Duration
 	Log          *slog.Logger
 	// OrderDelay returns how long it takes to send n orders now; nil if next to nothing.
--- a/internal/task/owner/submit.go
+++ b/internal/task/owner/submit.go
@@ -53,7 +53,7 @@
 	sc.dispatch(now)
 }
 
-// stopWait is the earliest time after which to retry a job whose former runs are being stopped.
+// stopWait is the shortest delay that a caller is given for retrying a job whose former runs are being stopped.
 const stopWait = 300 * time.Millisecond
 
 // stopBound returns how much longer the runs of an ended job may go on if no stop is confirmed.
--- a/internal/task/owner/suspect.go
+++ b/internal/task/owner/suspect.go
@@ -11,7 +11,7 @@
 	Lost int // number of endpoints
 }
 
-// suspicion is a Suspect to be shared with other owners.
+// suspicion is a Suspect to be shared with other owners, and when it was recorded.
 type suspicion struct {
 	at time.Time
 	Suspect
--- a/internal/task/owner/takeover.go
+++ b/internal/task/owner/takeover.go
@@ -31,7 +31,8 @@
 	sc.recentCleared = append(sc.recentCleared, clearedEntry{now, Cleared{s.ID, s.Fence}})
 }
 
-// Cleared lists the endpoints taken over from other owners lately, in turns if there are too many.
+// Cleared lists the endpoints taken over from other owners lately. If there are more than maxCleared,
+// the next calls list the others.
 func (sc *Scheduler) Cleared(now time.Time) (all []Cleared) {
 	sc.recentCleared = slices.DeleteFunc(sc.recentCleared, func(c clearedEntry) bool { return now.Sub(c.at) > clearedFor })
 	n := min(maxCleared, len(sc.recentCleared))
--- a/internal/task/place/endpoint.go
+++ b/internal/task/place/endpoint.go
@@ -24,7 +24,7 @@
 	Info
 	busy       atomic.Int32
 	limit      atomic.Int32 // slots allowed by its health
-	slow       atomic.Int32 // run time in percent of the average
+	slow       atomic.Int32 // run time in percent of the average endpoint's
 	assumed    atomic.Int32 // slots assumed usable by this VM at assumedAt
 	assumedAt  atomic.Int64
 	leaving    atomic.Bool
--- a/internal/task/queue/queue.go
+++ b/internal/task/queue/queue.go
@@ -148,8 +148,8 @@
 	}
 }
 
-// pick returns the tenant whose best job ranks first, among the tenants that are not
-// ahead of their share by more than Order.Lead.
+// pick returns the tenant whose best job ranks first, among the tenants that are within their
+// quota and ahead of the least served one by at most Order.Lead.
 func (q *Queue[T]) pick(mayStart func(string) bool) *tenant[T] {
 	if len(q.active) == 0 {
 		return nil
--- a/internal/task/quota/limiter.go
+++ b/internal/task/quota/limiter.go
@@ -21,7 +21,7 @@
 	// when a tenant's demand moves from one VM to another, both would use the whole
 	// quota for the time of a heartbeat.
 	riseTicks = 8
-	// burst is the time whose share of starts may be used at once.
+	// burst is the time for which unused starts add up; all of them may be used at once.
 	burst = 100 * time.Millisecond
 	// idleFraction is the fraction of the quota that is spread over all VMs, even those
 	// without demand, when demand exceeds the quota, so that new callers there don't
@@ -134,8 +134,8 @@
 	s.waiting = max(0, s.waiting-1)
 }
 
-// End releases the slot. If unused is set, the task provably did not start: it waits
-// again and its start is returned too.
+// End releases the slot of a task. If unused is set, the task certainly did not start: it
+// waits again and its start is returned too.
 func (lim *Limiter) End(tenant string, unused bool) {
 	lim.mu.Lock()
 	defer lim.mu.Unlock()
--- a/internal/task/route/route.go
+++ b/internal/task/route/route.go
@@ -123,7 +123,8 @@
 // that was fastest, which scores 0.72 instead of 0.89 for a calm day on links of 2 Mbit/s.
 const latencyFactor = 3
 
-// medianLatency returns the median order latency of the usable owners, at least minLatency.
+// medianLatency returns the median order latency of the usable owners, at least minLatency, or 0 if
+// there are none.
 func (t *Table) medianLatency(now time.Time) time.Duration {
 	t.latencies = t.latencies[:0]
 	for vm, l := range t.all {
