--- a/internal/cli/cmds/cmd_demo.go
+++ b/internal/cli/cmds/cmd_demo.go
@@ -61,8 +61,8 @@
 // demoReport is the result of a demonstration.
 type demoReport struct {
 	load.Report
-	Wasted  float64            `json:"wasted"` // messages per task
-	Causes  map[string]float64 `json:"causes"` // messages per task by cause
+	Wasted  float64            `json:"wasted"` // wasted messages per started task
+	Causes  map[string]float64 `json:"causes"` // the same by cause
 	Changed valid.Span         `json:"changed"`
 }
 
@@ -95,7 +95,7 @@
 	if err := <-faults; err != nil {
 		return nil, err
 	}
-	time.Sleep(500 * time.Millisecond) // starts after the answers are still counted
+	time.Sleep(500 * time.Millisecond) // so that starts that come after the answers are counted too
 	if err := d.Stop(); err != nil {
 		return nil, err
 	}
--- a/internal/cli/cmds/cmd_form.go
+++ b/internal/cli/cmds/cmd_form.go
@@ -47,7 +47,7 @@
 	},
 }
 
-// fill applies a form, shows the change and declares it.
+// applyForm applies a form, shows the change and declares it.
 func applyForm(c *cobra.Command, o *operatorClient, f forms.Form, v forms.Values, base uint64, text []byte) error {
 	d, err := doc.Parse(text)
 	if err != nil {
--- a/internal/cli/cmds/cmd_man.go
+++ b/internal/cli/cmds/cmd_man.go
@@ -11,7 +11,7 @@
 
 var errFormat = errors.New("format: use markdown or man")
 
-// This command generates the manual pages in docs/man, which are committed.
+// cmdMan generates the manual pages; those in docs/man are committed.
 var cmdMan = command{
 	use: "man DIR [markdown|man]", short: "Write the commands' manual pages into a folder",
 	args: cobra.RangeArgs(1, 2),
--- a/internal/cli/cmds/cmd_serve.go
+++ b/internal/cli/cmds/cmd_serve.go
@@ -8,7 +8,7 @@
 	"dahliawinch/internal/cli/daemon"
 )
 
-// The program dahliawinchd has only this command.
+// cmdServe runs an entry VM on leased endpoints; the program dahliawinchd does only that.
 var cmdServe = command{
 	use: "serve [SETTINGS.json]", short: daemon.Short, long: daemon.Long,
 	args: cobra.MaximumNArgs(1),
--- a/internal/cli/daemon/daemon.go
+++ b/internal/cli/daemon/daemon.go
@@ -108,7 +108,8 @@
 	return first, second, func() { stop1(); cancel() }
 }
 
-// heapFraction of the memory limit is the heap size from which the collector works harder.
+// heapFraction is the part of the process's memory limit that is set as the soft limit of Go's runtime,
+// near which the garbage collector runs more often.
 const heapFraction = 0.6
 
 // gcPercent is the heap growth, in percent of the live heap, at which a collection starts. The
--- a/internal/edge/entry/daemon_test.go
+++ b/internal/edge/entry/daemon_test.go
@@ -15,7 +15,7 @@
 	"dahliawinch/internal/tool/local"
 )
 
-// freeAddr returns a loopback address that no other process is given.
+// freeAddr returns a free loopback address, which is given to no other process.
 func freeAddr(t *testing.T) netip.AddrPort {
 	t.Helper()
 	at, err := local.FreeAddr()
--- a/internal/edge/hangup/hangup_test.go
+++ b/internal/edge/hangup/hangup_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// A caller may disconnect before its request is read, as while the VM is paused; no work
-// may be done for it.
+// A caller may disconnect before its request is read, for example while the VM is paused. No
+// work may be done for it.
 func TestClosedCallerIsReportedAtOnce(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/edge/oper/console.go
+++ b/internal/edge/oper/console.go
@@ -18,8 +18,8 @@
 	"dahliawinch/internal/conf/valid"
 )
 
-// The console's pages fit a phone's narrow screen, work without scripts and show the
-// answer on the first screen.
+// pageFiles holds the templates of the console's pages, which fit a phone's narrow screen, work
+// without scripts and show the answer on the first screen.
 //
 //go:embed pages/*.html
 var pageFiles embed.FS
--- a/internal/edge/oper/rollout.go
+++ b/internal/edge/oper/rollout.go
@@ -16,7 +16,7 @@
 	Says    string `json:"says"`
 }
 
-// rollout returns on which VMs a revision is in force; 0 means this VM's revision.
+// rollout returns on which VMs a revision is in force; a rev of 0 means the revision in force on this VM.
 func (s *Server) rollout(rev uint64) (mood, answer string, rows []RolloutRow) {
 	st := s.node.Stats()
 	cur, since, ok := s.node.InForce()
--- a/internal/edge/oper/status.go
+++ b/internal/edge/oper/status.go
@@ -15,7 +15,7 @@
 	Rev      uint64         `json:"rev"`
 	Since    time.Time      `json:"since,omitzero"`
 	Author   string         `json:"author,omitempty"`
-	Sure     bool           `json:"sure"` // Rev is certain up to what was read of the log
+	Sure     bool           `json:"sure"` // Rev is certainly in force as of the last record read from the log
 	Draining bool           `json:"draining"`
 	Active   int            `json:"active"`
 	Waiting  int            `json:"waiting"`
--- a/internal/edge/serve/beat.go
+++ b/internal/edge/serve/beat.go
@@ -14,8 +14,8 @@
 const (
 	// lostAfter is how long an owner may be silent before jobs handed to it are answered as unknown.
 	lostAfter = 700 * time.Millisecond
-	// lossReportDelay is how long a report of lost endpoints takes to arrive from another owner: two renewals of an
-	// endpoint, plus a heartbeat between failure domains.
+	// lossReportDelay is how long it takes until another owner's report of lost endpoints arrives: two renewals of an
+	// endpoint without an answer, plus a heartbeat between failure domains.
 	lossReportDelay = 2*(renewWait+renewGrace) + view.RemoteFactor*view.Period
 )
 
@@ -67,7 +67,7 @@
 
 // beatListed sends a heartbeat to the VMs that were just read from the store and have not been heard. After a loss
 // of all VMs each one delays its claims until it hears its neighbours, and the next regular heartbeat would be up to
-// 0.1 s later. Without it, simulated days that end with such a loss score 0.002 to 0.008 less.
+// 0.1 s later. Without this extra heartbeat, simulated days that end with such a loss score 0.002 to 0.008 less.
 func (d *Node) beatListed() {
 	b := d.newBeat(d.lock())
 	d.mu.Unlock()
@@ -80,7 +80,7 @@
 	d.deps.Mesh.SendAll(to, b)
 }
 
-// memberChanged handles that a VM came, left or was restarted.
+// memberChanged handles the arrival, departure or restart of a VM.
 func (d *Node) memberChanged(c view.Change) {
 	d.log.Info("vm "+c.State.String(), "vm", c.VM, "inc", c.Inc, "restarted", c.Reborn)
 	now := d.lock()
--- a/internal/edge/serve/claims.go
+++ b/internal/edge/serve/claims.go
@@ -113,7 +113,8 @@
 	}
 }
 
-// countOwners counts the VMs whose endpoints get work, and notes whether any group of such endpoints has no owner.
+// countOwners counts the VMs that own endpoints outside cordoned domains, and notes whether any group of such endpoints
+// has no owner.
 func (d *Node) countOwners(peers []claim.Peer) {
 	owned := claim.Owned(peers)
 	d.hasUnowned, d.ownerCount = false, 0
@@ -239,9 +240,12 @@
 }
 
 // handleRefusal handles an endpoint that obeys another VM, or an address where another incarnation answers; the caller
-// holds the lock. For a group of its own domain an owner waits to hear the other's claim, unless it is isolated or no
-// such claim exists, as when this VM's clock is behind. An owner of another domain's group drops it at once: it may
-// have no link to the other owner, and the two would take the group from each other without end.
+// holds the lock.
+//
+// If the group belongs to another domain, the owner drops it at once: it may have no link to the other owner, and the
+// two would take the group from each other without end. If the group belongs to this VM's domain, it waits until it
+// hears the other's claim. It drops the group without waiting if it is isolated, or if the refusals last so long that no such
+// claim can exist, for example because this VM's clock was behind when it made its fence.
 func (d *Node) handleRefusal(why agent.Refusal, ep *lease.Endpoint, fence uint64) {
 	if why == agent.WrongInstance {
 		d.roster.markDead(ep.ID)
@@ -260,7 +264,8 @@
 	d.loseGroup(now, g, "another VM owns its group")
 }
 
-// outrankAfter is how long a fence is refused before the claim of a VM with a higher one should have been heard.
+// outrankAfter is how long endpoints must refuse a fence before this VM concludes that no live VM has a higher one: it
+// would have heard that VM's claim by then.
 const outrankAfter = time.Second
 
 // fenceRefusal is the fence of a claim that endpoints refuse, and since when.
--- a/internal/edge/serve/node.go
+++ b/internal/edge/serve/node.go
@@ -85,7 +85,7 @@
 	endpoints *feed.Relay[lease.Info]
 	plan      atomic.Pointer[plan.Plan]
 	leaving   atomic.Bool
-	reading   atomic.Bool // it reads the store for its failure domain
+	reading   atomic.Bool // this VM reads the store for its failure domain
 	// storeless is set while the last call to the store failed.
 	storeless atomic.Bool
 	// vmsRead is closed when the entry VMs were read from the store.
@@ -93,7 +93,7 @@
 	vmsReadOnce sync.Once
 	// firstStart is set when the store's first answer did not name this VM.
 	firstStart atomic.Bool
-	vmsReread  atomic.Bool // the entry VMs were read again after that
+	vmsReread  atomic.Bool // rereadVMs has read the entry VMs again
 	serial     atomic.Uint64
 	beatCount  int64 // used only by the timer's goroutine
 	// vmsReadAfter is the time from the start until this VM knew the others and first looked for a copy of the endpoints;
@@ -131,7 +131,7 @@
 	delay         time.Duration  // how late
 	isolated      bool           // it seems to be cut off from all others
 	prober        prober         // asks about neighbours that are not heard
-	answered      answeredProbes // probes of other VMs, whoever answered
+	answered      answeredProbes // probes of other VMs that some VM has answered
 	lossyUntil    time.Time      // until then orders are assumed to get lost
 }
 
--- a/internal/edge/serve/perform.go
+++ b/internal/edge/serve/perform.go
@@ -78,9 +78,9 @@
 
 func target(ep *lease.Endpoint) agent.Target { return agent.Target{ID: ep.ID, Addr: ep.Addr} }
 
-// start orders a run. A start without an answer is repeated with the same number, which has no effect if the run exists
-// or has existed, and is the fastest way to find out. The caller has counted the first try with pace.Begin, and passes
-// its time limit.
+// start orders a run. A start without an answer is repeated with the same number. That is the fastest way to find out
+// whether the run exists, and has no effect if it does or did. The caller has counted the first try with pace.Begin and
+// passes its time limit.
 func (d *Node) start(s owner.Start, limit time.Duration) {
 	d.deps.Meter.AddStart()
 	n := lease.RunID{Task: s.Run.Name, Num: s.Run.Num}
@@ -219,7 +219,7 @@
 			case ep.Missed > 0:
 				o.Wait = 0 // answered at once, which tells a lost answer from a lost endpoint
 			case now.Before(d.lossyUntil):
-				o.Wait = max(lossyWait, d.pace.Timeout()) // no more renewals than the link can carry
+				o.Wait = max(lossyWait, d.pace.Timeout()) // so that there are no more renewals than the link can carry
 			}
 		}
 		d.mu.Unlock()
--- a/internal/edge/serve/probe.go
+++ b/internal/edge/serve/probe.go
@@ -113,8 +113,8 @@
 // isCut reports whether this VM may be cut off from the others: it hears fewer VMs than it misses.
 func (c contacts) isCut() bool { return c.missed > c.heard && !c.refused }
 
-// mayBeAlive reports whether a VM that is not heard may be alive, and no VM that is heard can tell. VMs of other failure
-// domains count only while this VM may be cut off.
+// mayBeAlive reports whether a VM that is not heard may be alive, and this VM hears too few others to decide that without
+// a probe. VMs of other failure domains count only while this VM may be cut off.
 func (d *Node) mayBeAlive(now time.Time, m *view.Member, c contacts) bool {
 	if m.Domain != d.cfg.Domain && !c.isCut() {
 		return false
@@ -138,8 +138,8 @@
 // checkUnheard probes through the store for VMs that are not heard, and passes the result to the claims; the caller
 // holds the lock.
 //
-// Without it a VM that is cut off from the others believes that they are lost, and claims endpoints of live owners,
-// whose jobs fail. Or, after a loss of all others, it believes that it is cut off, and serves nobody.
+// Without it a VM that is cut off from the others considers them lost, and claims endpoints of live owners, whose jobs
+// fail. Or, after a loss of all others, it considers itself cut off, and serves nobody.
 func (d *Node) checkUnheard(now time.Time) {
 	c := d.countContacts()
 	unheard := slices.ContainsFunc(d.view.Members(), func(m *view.Member) bool { return d.mayBeAlive(now, m, c) })
@@ -191,7 +191,8 @@
 	}
 }
 
-// sendProbe posts a question and collects answers until one comes from an owner or the time is over.
+// sendProbe posts a question and collects answers until one comes from an owner or the time is over. Answers of VMs that
+// are heard by then don't count.
 func (d *Node) sendProbe(ctx context.Context, wide bool) (result probeResult, by netip.AddrPort, err error) {
 	_, from, err := d.deps.Presence.Newest(ctx)
 	if err != nil {
--- a/internal/edge/serve/relay.go
+++ b/internal/edge/serve/relay.go
@@ -71,9 +71,9 @@
 
 // before reports whether r precedes o as the reader of a domain.
 //
-// A VM that can't reach the store ranks last. If it stayed the reader, the others would get no updates for a second,
-// then one of them would read in its place, again and again, and it would get none of what they read. The log would
-// show "no updates from the store's reader" in bunches, and orders would go to endpoints that left long ago.
+// A VM that can't reach the store ranks last. If it stayed the reader, the others would repeatedly get no updates for a
+// second until one of them reads in its place, and it would get none of what they read. The log would show "no updates
+// from the store's reader" many times, and orders would go to endpoints that left long ago.
 func (r reader) before(o reader, domain string) bool {
 	if r.storeless != o.storeless {
 		return o.storeless
@@ -203,9 +203,10 @@
 	maxVMsWait = 300 * time.Millisecond
 	// ownerCopyWait is how long a starting VM waits for a copy while it hears an owner of endpoints, which has one.
 	ownerCopyWait = time.Second
-	// readerWait is how long one of the initialReaders of a failure domain waits otherwise, by when it has heard any live
-	// VM; othersWait is how long the others do. After a loss of all VMs nobody has a copy: 38 VMs that waited a second for
-	// one owned all endpoints only 1.5 s after their start, and served next to nothing until then.
+	// readerWait is how long a starting VM waits for a copy while it hears no owner, if it is one of the initialReaders of
+	// its failure domain; by then it has heard any live VM. othersWait is how long the other VMs wait. After a loss of all
+	// VMs nobody has a copy: 38 VMs that waited a second for one owned all endpoints only 1.5 s after their start, and
+	// served next to nothing until then.
 	readerWait = 60 * time.Millisecond
 	othersWait = 300 * time.Millisecond
 	// waitPerVM is the least wait of the others for each VM of the fleet. With 300 VMs the initialReaders take half a
@@ -243,7 +244,7 @@
 //
 // The number of VMs alone can't decide this. When all start for the first time, each learns of those registered before
 // it, so the first half takes the fleet for small and reads all endpoints from the store; with a slow store all VMs do,
-// before they learn of any other. A VM that the store did not know can wait: nobody depends on it yet.
+// before they learn of any other. So a VM that the store did not know waits anyway: nobody depends on it yet.
 func (d *Node) waitsForCopy(after time.Duration) bool {
 	d.awaitVMs()
 	switch {
@@ -255,7 +256,7 @@
 	if d.vmsReadAfter == 0 {
 		d.vmsReadAfter = after
 	}
-	storeTime := d.vmsReadAfter // the VM that reads the endpoints now waits for the store about as long again
+	storeTime := d.vmsReadAfter // the VM that reads the endpoints now needs about as long for its call to the store
 	after -= d.vmsReadAfter
 	all := d.view.Members()
 	switch {
--- a/internal/edge/serve/start_test.go
+++ b/internal/edge/serve/start_test.go
@@ -37,7 +37,7 @@
 	n.applyRoster(nil, true)
 	is.True(n.Ready())
 	n.began = n.began.Add(-joinWindow)
-	is.True(!n.Ready()) // owners should be known by now
+	is.True(!n.Ready()) // joinWindow is over, and no owner is known
 }
 
 // Guards against renewals sent to an address that is not our endpoint: another writer lists an endpoint of a pool that
--- a/internal/edge/serve/submit.go
+++ b/internal/edge/serve/submit.go
@@ -99,8 +99,8 @@
 // callerLeft is the answer for a caller that has left, which nobody reads.
 var callerLeft = job.Answer{Outcome: job.Unknown, Reason: job.Canceled, Detail: "its caller left"}
 
-// noteWait estimates how long a caller has already waited elsewhere; the caller holds the lock. A first attempt waits
-// longer than the queue's declared timeout plus the job's objective.
+// noteWait estimates how long a job's caller has already waited elsewhere; the caller of noteWait holds the lock. One
+// that has not waited elsewhere will wait for longer than the queue's declared timeout plus the job's objective.
 func (d *Node) noteWait(c *call) {
 	if c.timeout <= 0 {
 		return
@@ -231,8 +231,8 @@
 	return nil
 }
 
-// ownersMissing reports whether more owners may appear: this VM has just started, and some groups have no owner or some
-// owner has not sent its load. Once all have, a job refused by them must not wait; the caller holds the lock.
+// ownersMissing reports whether more owners may appear: this VM has just started, and some group has no owner or some
+// owner has not sent its load. Otherwise a job that the known owners refused must not wait. The caller holds the lock.
 func (d *Node) ownersMissing(now time.Time) bool {
 	return now.Sub(d.began) < joinWindow && (d.hasUnowned || d.routes.Known(now) < d.ownerCount)
 }
--- a/internal/edge/wire/conn.go
+++ b/internal/edge/wire/conn.go
@@ -48,7 +48,7 @@
 //
 // A device on the path, such as a firewall, may drop an idle connection without closing
 // it. A request sent over it is lost, and can't be retried because the task may have
-// started: jobs then end as silent on endpoints that answer others. With
+// started: jobs then end as silent although their endpoints answer other requests. With
 // "Expect: 100-continue", at the cost of one round trip, the body is sent only after
 // the endpoint has answered, so a silent connection loses no task.
 func (c *conn) exchange(at netip.AddrPort, x flow.Exchange, probe bool) (flow.Result, bool) {
--- a/internal/edge/wire/pool_test.go
+++ b/internal/edge/wire/pool_test.go
@@ -135,7 +135,7 @@
 
 // All open connections, in use and idle, go silent for good while new ones work. Only
 // the tasks in flight may be lost: idle connections must be probed before use, or jobs
-// end as silent on endpoints that answer others.
+// end as silent although their endpoints answer other requests.
 func TestSilentConnectionsLoseOnlyInFlightTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/mesh/claim/balance.go
+++ b/internal/mesh/claim/balance.go
@@ -77,7 +77,7 @@
 // a lower load with one more.
 //
 // Without it the VM that starts first, or stays up while the others restart, owns all units of a domain for its
-// lifetime and can't keep up with a burst while its neighbours are idle: jobs of one owner are late. Hashing alone
+// lifetime. In a burst its jobs are late while its neighbours are idle. Hashing alone does not balance either: it
 // gives one of five VMs three of six units. An owner moves one unit at a time, and only after stableAfter
 // without changes, so that a VM that restarts repeatedly gets none.
 func (t *Table) surplusUnit(now time.Time, candidates []Candidate, peers []Peer) (unit string) {
--- a/internal/mesh/claim/balance_test.go
+++ b/internal/mesh/claim/balance_test.go
@@ -63,7 +63,7 @@
 	for _, n := range claimed {
 		d.maxClaimants = max(d.maxClaimants, n)
 	}
-	for _, p := range peers { // announced to the others in this round, and nothing runs there
+	for _, p := range peers { // the others have read the handover in this round, and no task runs on these groups
 		for _, c := range p.Claims {
 			for s := range uint8(32) {
 				if c.Giving && c.Shards == 1<<s {
@@ -74,8 +74,8 @@
 	}
 }
 
-// Guards against uneven owners: after a start, hashing gave one of five VMs 19 endpoints and another one, and
-// nothing rebalanced the six units, since each VM owned some. With unequal VMs the stronger ones own more.
+// Guards against uneven owners: after a start, hashing gave one of five VMs 19 endpoints and another VM a single
+// one, and nothing rebalanced the six units, since each VM owned some. With unequal VMs the stronger ones own more.
 func TestUnitsAreBalanced(t *testing.T) {
 	is := is.New(t)
 	for units := 1; units <= 16; units++ {
--- a/internal/mesh/claim/choose.go
+++ b/internal/mesh/claim/choose.go
@@ -48,9 +48,9 @@
 //
 // Choosing the best of all known VMs instead would cause conflicts: in a large deployment each VM has links
 // to only some VMs of other domains. VMs that don't know each other would claim the same groups and take them
-// from each other, and jobs on them would fail; the logs show groups dropped for a higher fence. Every VM
-// knows some VMs of each domain and all of its own, so all agree on the fallback domain, and its VMs agree
-// on the owner.
+// from each other, and jobs on them would fail; the logs would show groups dropped for a higher fence. But every
+// VM knows some VMs of each domain and all of its own, so all agree on the fallback domain, and the VMs of that
+// domain agree on the owner.
 func (t *Table) fallbackDomain(key string, peers []Peer) (best string) {
 	topHash := uint64(0)
 	consider := func(domain string) {
--- a/internal/mesh/claim/claim.go
+++ b/internal/mesh/claim/claim.go
@@ -65,8 +65,8 @@
 	listRead bool // the store's list of VMs has been read
 	// strained is set while this VM's messages reach the others late.
 	strained bool
-	// isolated is set while this VM seems to be cut off from all others. lastIsolated is when it last was.
-	// lastUnheard is the last round in which it had not heard any of them yet.
+	// isolated is set while this VM seems to be cut off from all others; lastIsolated is when it last was.
+	// lastUnheard is the time of the last round before this VM had heard any other.
 	isolated                  bool
 	lastIsolated, lastUnheard time.Time
 	// deferring is set while a VM of this failure domain that is not heard owns endpoints there;
@@ -92,7 +92,7 @@
 
 const (
 	// minBackoff and maxBackoff bound the pause after a group turned out to belong to a VM
-	// that this one can't hear. Without it the two would keep taking the group from each other.
+	// that this one can't hear. Without a pause the two would keep taking the group from each other.
 	minBackoff = 3 * time.Second
 	maxBackoff = 60 * time.Second
 )
--- a/internal/mesh/claim/claim_test.go
+++ b/internal/mesh/claim/claim_test.go
@@ -43,8 +43,8 @@
 	is.Equal(len(table.Decide(t0.Add(settleMissing), false, gs[:1], peers)), 1) // it didn't start
 }
 
-// Guards against an outage 0.2 s longer than necessary after a loss of all VMs: those of a domain hear each
-// other at once, but wait for unknown owners though the store lists all VMs and each of the domain was heard.
+// Guards against an outage 0.2 s longer than necessary after a loss of all VMs: the store lists all VMs, and those
+// of a domain hear each other at once, but they still wait for owners that may not be known yet.
 func TestClaimIsFastWhenAllListedAreHeard(t *testing.T) {
 	is := is.New(t)
 	table := New(a, "x", 1, t0)
@@ -73,7 +73,8 @@
 }
 
 // Guards against a replaced VM that takes the endpoints of its neighbour, so that jobs fail: its settings name
-// the neighbour without a failure domain, it has not heard it 0.3 s after its start, and doesn't count it as one.
+// the neighbour without a failure domain. 0.3 s after its start it has not heard that VM, and does not wait for it
+// since it does not know that they are neighbours.
 func TestClaimWaitsForVMOfUnknownDomain(t *testing.T) {
 	is := is.New(t)
 	table := New(a, "x", 1, t0)
@@ -122,7 +123,7 @@
 }
 
 // Guards against two VMs that both send orders to an endpoint: they claimed it while they didn't hear each
-// other, and neither gives way.
+// other, and neither drops its claim when they do.
 func TestLowerFenceGivesWay(t *testing.T) {
 	is := is.New(t)
 	table := New(a, "x", 1, t0)
--- a/internal/mesh/claim/settle.go
+++ b/internal/mesh/claim/settle.go
@@ -6,23 +6,24 @@
 )
 
 const (
-	// settleOwn is how long a VM listens after its start before it claims a group of its own failure domain,
-	// settleOther before one of another domain. Without it a VM that just started would take endpoints from owners
-	// that it has not heard yet. Neighbours are heard within 200 ms, but after a loss of all VMs they start up to
-	// a second apart. Until the first claim every job waits or is refused.
+	// settleOwn is how long a VM listens after its start before it claims a group of its own failure domain.
+	// Without it a VM that just started would take endpoints from owners that it has not heard yet. Neighbours are
+	// heard within 200 ms, but after a loss of all VMs they start up to a second apart. Until the first claim every
+	// job waits or is refused.
 	settleOwn = 300 * time.Millisecond
-	// settleKnown applies when every VM that the store lists for this domain was heard or is down. The claims
-	// of those that are up came with their first heartbeats, and they receive this VM's.
+	// settleKnown applies when every VM that the store lists for this domain was heard or is down. The first
+	// heartbeats of those that are up have shown their claims, and they will receive this VM's claims.
 	settleKnown = 50 * time.Millisecond
-	// settleMissing applies while a known VM of this domain has not been heard,
-	// settleOther to groups of other domains.
+	// settleMissing replaces settleOwn while a known VM of this domain has not been heard.
+	// settleOther is how long a VM listens after its start before it claims a group of another domain.
 	settleMissing = time.Second
 	settleOther   = 1500 * time.Millisecond
 	// settleUnheard applies to groups of other domains while several VMs are listed and none has been heard:
 	// it is more likely that this VM is cut off than that all others are permanently lost.
 	settleUnheard = 10 * time.Second
 	// rejoinDelay is how long a VM that was cut off, or deferred to one it could not hear, listens before it
-	// claims again: the first heartbeats of the others arrive up to one cross-domain period plus network delay apart.
+	// claims again: the first heartbeats of the others arrive up to one period of the heartbeats between domains plus
+	// network delay apart.
 	rejoinDelay = 500 * time.Millisecond
 )
 
@@ -57,7 +58,7 @@
 
 // recordSilence updates the times at which this VM was last isolated, deferring, cut off or had heard nobody.
 //
-// Without it a VM that starts or reconnects, and hears one neighbour first, claims the endpoints of all others
+// Without these times a VM that starts or reconnects, and hears one neighbour first, claims the endpoints of all others
 // whose heartbeats are still in flight: it logs a "group" line for every group.
 func (t *Table) recordSilence(now time.Time, peers []Peer) {
 	if t.isolated {
--- a/internal/mesh/frame/msg.go
+++ b/internal/mesh/frame/msg.go
@@ -46,7 +46,7 @@
 	VM     netip.AddrPort `msgpack:"v"`
 	Inc    uint64         `msgpack:"i"`
 	Domain string         `msgpack:"d"`
-	// Counts says that the sender can read Ack and packed messages.
+	// Counts says that the sender can read Ack and packed messages; VMs of older versions can't.
 	Counts bool `msgpack:"c,omitempty"`
 }
 
@@ -107,7 +107,7 @@
 	Fence    uint64 `msgpack:"f"`
 }
 
-// LatePeer says how much later than usual a peer's last heartbeat came.
+// LatePeer says how much later than usual a peer's last heartbeat came, or how long the next one is overdue.
 type LatePeer struct {
 	VM netip.AddrPort `msgpack:"v"`
 	By time.Duration  `msgpack:"b"`
@@ -118,8 +118,8 @@
 	Domain string   `msgpack:"d"`
 	Shards uint64   `msgpack:"g"` // one bit for each group
 	Fence  uint64   `msgpack:"f"`
-	Giving bool     `msgpack:"l,omitempty"` // ownership is being handed to another VM,
-	Held   []string `msgpack:"h,omitempty"` // except for these endpoints
+	Giving bool     `msgpack:"l,omitempty"` // the groups are being handed over to another VM
+	Held   []string `msgpack:"h,omitempty"` // endpoints that the sender still uses meanwhile
 }
 
 // Room is how many more tasks a VM could start now.
@@ -247,14 +247,15 @@
 	Call uint64    `msgpack:"c"`
 }
 
-// Load tells how busy a VM's leased endpoints are. It is sent without waiting for the next heartbeat.
+// Load tells how busy a VM's leased endpoints are. It is sent as a message of its own, without waiting for the next
+// heartbeat; in a large fleet it is part of heartbeats instead.
 type Load struct {
 	_msgpack struct{}      `msgpack:",as_array"` //nolint:unused // the codec reads this tag
 	Free     float32       // cores that a job could use now
 	Total    float32       // cores that accept work
 	Ahead    [3]float32    // core-seconds waiting and running, of ranks up to 0, 1 and any
 	Next     time.Duration // the next Load comes within this time
-	Lag      time.Duration // time that an order to an endpoint takes the sender
+	Lag      time.Duration // how long an order from the sender to an endpoint takes
 }
 
 // PlanUpdate passes on what the sender read of the operators' declarations.
--- a/internal/mesh/link/hub.go
+++ b/internal/mesh/link/hub.go
@@ -34,7 +34,7 @@
 	writeTimeout = time.Second
 	// ackInterval is how often a receiver acknowledges what it has read.
 	ackInterval = 100 * time.Millisecond
-	// idleAckInterval is how often it does so while it has read no new reliable message, and
+	// idleAckInterval is how often it does so while it has read no new reliable message.
 	// ackWriteTimeout bounds the write of an acknowledgement.
 	idleAckInterval = 200 * time.Millisecond
 	ackWriteTimeout = 20 * time.Millisecond
@@ -43,12 +43,12 @@
 	// acknowledgements would be half of all messages. With the time to the next check it is
 	// 400 ms, less than silenceTimeout even if those messages are lost.
 	busyAckInterval = 350 * time.Millisecond
-	// busyWindow is how recent the receiver's last own message must be for that: a little
-	// longer than the longest interval between heartbeats.
+	// busyWindow is how recent the receiver's last own message must be for busyAckInterval to apply:
+	// a little longer than the longest interval between heartbeats.
 	busyWindow = 400 * time.Millisecond
 	// silenceTimeout is how long a sender waits without any message from the peer before it
-	// replaces the connection. ackTimeout is the same for acknowledgements alone, while the peer
-	// still sends over its own link: a device on the path may have dropped the state of this
+	// replaces the connection. ackTimeout is how long it waits without an acknowledgement while the
+	// peer still sends over its own link: a device on the path may have dropped the state of this
 	// connection only. An owner ends the jobs of a VM whose keepalives are missing for 1.5 times
 	// that long.
 	silenceTimeout = 500 * time.Millisecond
--- a/internal/mesh/link/link_test.go
+++ b/internal/mesh/link/link_test.go
@@ -308,8 +308,8 @@
 }
 
 // Guards against slow discovery after a loss of all VMs: the first VM to start received messages
-// from the others only 0.4 s after their start. Its dial to a machine without power hangs, and it
-// waits for it although the machine now has power and would answer a new dial.
+// from the others only 0.4 s after their start. It had dialed a machine without power, and waited
+// for the timeout of that dial although the machine had power by then and would answer a new dial.
 func TestHungDialIsRetriedSoon(t *testing.T) {
 	is := is.New(t)
 	a, b := startPeer(t, 1, "127.0.0.1:0"), startPeer(t, 1, "127.0.0.1:0")
--- a/internal/mesh/view/isolation.go
+++ b/internal/mesh/view/isolation.go
@@ -4,7 +4,7 @@
 
 const (
 	// isolationWindow is how close together the last heartbeats of all others must be for their silence to
-	// count as one event: one cross-domain period plus network delay.
+	// count as one event: one period of the heartbeats between domains plus network delay.
 	isolationWindow = (RemoteFactor + 2) * Period
 	// maxIsolation is how long a VM considers itself isolated. If all others really were lost at once,
 	// something must claim their endpoints in the end.
--- a/internal/mesh/view/links.go
+++ b/internal/mesh/view/links.go
@@ -17,7 +17,8 @@
 }
 
 // pickLinks chooses the links: all VMs of this failure domain, and a few of the others by rendezvous hashing.
-// With links to all, messages would grow with the number of VMs; over a few, news takes some hops.
+// With links to all VMs, each VM's messages would grow with the number of VMs; with few links, news reaches
+// distant VMs through others in between.
 // The caller holds the lock.
 func (v *View) pickLinks() {
 	type ranked struct {
@@ -47,7 +48,7 @@
 // remoteLinkCount returns how many links to other failure domains a VM with so many neighbours keeps.
 //
 // A fixed number does not scale: with 300 VMs, heartbeats to 74 neighbours, to 32 VMs of other domains and to
-// as many that chose this one are most of the work, and CPU time grows faster than the number of VMs. With 32
+// as many that picked this one are most of the work, and CPU time grows faster than the number of VMs. With 32
 // neighbours or fewer the full number is kept.
 func (v *View) remoteLinkCount(neighbours int) int {
 	return min(v.remoteLinks, max(minRemoteLinks, maxLinks-neighbours))
--- a/internal/mesh/view/strain.go
+++ b/internal/mesh/view/strain.go
@@ -18,8 +18,8 @@
 	// minWitnesses is how many VMs must be heard for their reports to count. Between two VMs
 	// neither can tell whose link is slow.
 	minWitnesses = 2
-	// strainAfter is how long messages must be late until a VM counts as strained. After a pause it reads
-	// reports that were sent before the others heard it again.
+	// strainAfter is how long messages must be late until a VM counts as strained. With a shorter time
+	// a VM would count after a pause, as it first reads reports that the others sent before they heard it again.
 	strainAfter = RemoteFactor * Period
 	// minStrain and maxStrain bound how long a VM counts as strained once messages are in time again. The
 	// time doubles with each strain that begins within maxStrain of the end of the last one.
@@ -45,7 +45,8 @@
 }
 
 // Delay returns how late this VM's messages reach the others: the lower of the median over all VMs heard
-// and the median over those of this failure domain. So the VMs behind a one-way partition alone can't raise it.
+// and the median over those of this failure domain. So the reports of the VMs behind a one-way partition
+// alone can't raise it.
 func (v *View) Delay() time.Duration {
 	var all, neighbours []time.Duration
 	for _, m := range v.Members() {
--- a/internal/mesh/view/view.go
+++ b/internal/mesh/view/view.go
@@ -15,10 +15,11 @@
 	// Period is the time between heartbeats inside a failure domain.
 	Period = 100 * time.Millisecond
 	// RemoteFactor is how many times longer heartbeat periods and timeouts are between failure domains:
-	// there are many more such pairs, and none shares slots.
+	// there are many more such pairs of VMs, and no such pair shares slots.
 	RemoteFactor = 3
-	// maxLinks is how many links a VM in a large failure domain picks, except that at least minRemoteLinks
-	// go to other domains, which are needed to detect the loss of a domain.
+	// maxLinks is how many links a VM in a large failure domain keeps in total. All neighbours get one; if they
+	// leave fewer than minRemoteLinks for other domains, there are minRemoteLinks, which are needed to detect
+	// the loss of a domain.
 	maxLinks       = 64
 	minRemoteLinks = 12
 	// RemoteLinks is how many VMs of other failure domains a VM picks for links; about as many
@@ -289,8 +290,9 @@
 
 // Doubts returns the members that this VM doesn't hear, including those that have been gone for a short while.
 //
-// Without the latter, when two VMs are left and one of them considers the others gone, it stops confirming that
-// to the second, which then never considers them gone: endpoints stay unclaimed.
+// A VM considers a member gone when another VM doubts it too. If a VM stopped doubting a member as soon as it
+// considers it gone, and only one other VM is left, that one would get no confirmation and never consider the
+// member gone: endpoints would stay unclaimed.
 func (v *View) Doubts(now time.Time) (vms []netip.AddrPort) {
 	for _, m := range v.Members() {
 		silence := v.silence(now, m)
--- a/internal/mesh/view/view_test.go
+++ b/internal/mesh/view/view_test.go
@@ -41,7 +41,8 @@
 	is.Equal(v.Find(vm(1)).State, Gone)
 }
 
-// Guards against the second of two VMs left, whose only witness considers the others gone and stops confirming it.
+// Guards against endpoints that stay unclaimed when two VMs are left: the first considers the others gone and stops
+// doubting them, so the second gets no confirmation and never considers them gone.
 func TestGoneMemberIsDoubtedForAWhile(t *testing.T) {
 	is := is.New(t)
 	v := New(vm(0), "a", began)
--- a/internal/plat/fakes/leased.go
+++ b/internal/plat/fakes/leased.go
@@ -32,12 +32,12 @@
 
 // Behavior is how a leased endpoint behaves.
 type Behavior struct {
-	Slow   float64       // factor of run times; 0 for the usual ones
+	Slow   float64       // run times are multiplied by this factor; 0 means 1
 	Fail   bool          // every run fails
 	Hang   bool          // runs never finish
 	Silent bool          // carries out requests without answering
 	Late   float64       // share of requests that are carried out late and not answered
-	Delay  time.Duration // of the late requests
+	Delay  time.Duration // how late those are carried out
 	Ill    bool          // refuses requests as unhealthy
 }
 
--- a/internal/plat/feed/backlog_test.go
+++ b/internal/plat/feed/backlog_test.go
@@ -28,8 +28,8 @@
 	}).Init()
 }
 
-// A task was started on an endpoint that had announced 2.1 s before that it leaves; its owner
-// learned of that after 3.4 s. While VMs of a domain are restarted in turn, two of them read for the
+// A task was started on an endpoint that had announced 2.1 s before that it leaves; the announcement
+// reached its owner after 3.4 s. While VMs of a domain are restarted in turn, two of them read for the
 // others for some seconds and both post, but only one queued post was applied per pause between reads.
 func TestWaitingPostsAreMerged(t *testing.T) {
 	is := is.New(t)
--- a/internal/plat/feed/feed.go
+++ b/internal/plat/feed/feed.go
@@ -44,15 +44,15 @@
 
 // EndpointReadBytes bounds one read of the endpoints, in bytes.
 //
-// Without it, a VM that could not reach the store for some seconds requests the whole backlog. A
-// link of 2 Mbit/s carries 150 KB within a call's timeout; with more, no read ever completes, each
-// takes the link from task requests and heartbeats, and the backlog grows, so that other VMs get
-// this VM's heartbeats only at times, long after the store is back. A read of this size takes
-// 0.26 s of such a link. With 18 VMs, a third of them refused by the store for 9 s, it raised the
-// score from 0.431 to 0.514 (one simulated day).
+// Without this bound, a VM that could not reach the store for some seconds requests the whole
+// backlog. A link of 2 Mbit/s carries 150 KB within a call's timeout. If the backlog is larger, no
+// read ever completes, each one delays task requests and heartbeats on the link, and the backlog
+// grows. Other VMs then get this VM's heartbeats irregularly, long after the store is back. A read
+// of this size occupies such a link for 0.26 s. With 18 VMs, a third of them refused by the store
+// for 9 s, the bound raised the score from 0.431 to 0.514 (one simulated day).
 const EndpointReadBytes = 64 << 10
 
-// Pace is how often and in what amounts a source is read.
+// Pace defines how often a source is read, and how much at once.
 type Pace struct {
 	Wait     time.Duration // how long one read may wait for a record
 	Pause    time.Duration // between two reads; calls to the store are billed
--- a/internal/plat/feed/narrow_test.go
+++ b/internal/plat/feed/narrow_test.go
@@ -39,7 +39,7 @@
 
 // The store refused VMs with links of 2 Mbit/s for 9 s, while 90 endpoints reported every 1.5 s.
 // Each read then requested the whole backlog, timed out, and was repeated with the records added
-// since. For half a minute the VMs' heartbeats arrived only at times; six of 18 VMs owned endpoints,
+// since. For half a minute the VMs' heartbeats arrived irregularly; six of 18 VMs owned endpoints,
 // and a sixth of all jobs was late.
 func TestBacklogIsReadThroughANarrowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/plat/feed/relay.go
+++ b/internal/plat/feed/relay.go
@@ -26,8 +26,8 @@
 // and read the store themselves.
 type Relay[T any] struct {
 	Source[T]
-	// IsReader reports whether this VM is the reader now. VMs may disagree: two readers cost
-	// extra calls, none costs PostTimeout.
+	// IsReader reports whether this VM is the reader now. VMs may disagree: with two readers there
+	// are extra calls, and with none the others wait for PostTimeout.
 	IsReader func() bool
 	// Share sends a post to the other VMs.
 	Share func(p Post[T])
@@ -50,7 +50,7 @@
 
 	posts chan Post[T]
 	// Only the follower's goroutine uses these.
-	excessLatency time.Duration // time that the last read took beyond its Wait
+	excessLatency time.Duration // how much longer than its Wait the last read took
 	minCopyOffset int64         // older copies are useless: the store has dropped the records after them
 	unverified    bool          // the state is another VM's copy, and the store has not been read since
 
@@ -250,9 +250,9 @@
 
 // mergeWaiting appends the queued posts to p; missed reports a gap between them.
 //
-// While two VMs are readers, as after a restart, posts arrive twice as fast as they would be
-// applied at one per pause between reads. Up to maxPosts would queue and be applied 3 s late,
-// and runs would be started on endpoints that had announced long before that they leave.
+// Applying one post per pause between reads is too slow while two VMs are readers, as after a
+// restart: posts arrive twice as fast. Up to maxPosts would queue and be applied 3 s late, and runs
+// would be started on endpoints that had announced long before that they leave.
 func (r *Relay[T]) mergeWaiting(p Post[T]) (all Post[T], found, missed bool) {
 	for {
 		select {
--- a/internal/plat/feed/unusable_test.go
+++ b/internal/plat/feed/unusable_test.go
@@ -32,8 +32,8 @@
 	is.Equal(strings.Count(out.String(), "unusable record"), 2) // it was good between
 }
 
-// An endpoint that reports was lost for good: its entry was replaced by an unusable one and then
-// written again unchanged. The copy still held the first entry and took the last for a repetition.
+// An endpoint was lost for good although it kept reporting: its entry was replaced by an unusable one and then
+// written again unchanged. The copy still held the first entry, so the last one was dropped as a repetition.
 func TestRecordAfterUnusableOneIsNew(t *testing.T) {
 	is := is.New(t)
 	r := (&Relay[int]{Equal: func(a, b int) bool { return a == b }}).Init()
