--- a/internal/tool/bench/control.go
+++ b/internal/tool/bench/control.go
@@ -36,7 +36,8 @@
 	Memory    float64 `json:"memory"`    // heap bytes of the member view, endpoint table and endpoint records
 }
 
-// sink counts a node's messages and drops them.
+// sink counts messages: as flow.Mesh those that a node sends, which it drops, and for
+// sendBeats those that the node receives.
 type sink struct {
 	mu    sync.Mutex
 	bytes int
@@ -195,7 +196,8 @@
 }
 
 // messageCost returns the CPU time to write one heartbeat to a loopback connection and
-// read it at the other end. A daemon has the cost of only one end per message.
+// read it at the other end. A daemon does only one of the two for each message, so
+// the cost is an upper estimate.
 func messageCost() (time.Duration, error) {
 	const messages = 20_000
 	data, err := frame.Append(nil, &frame.Heartbeat{At: time.Now()})
--- a/internal/tool/grid/cordon_test.go
+++ b/internal/tool/grid/cordon_test.go
@@ -25,8 +25,8 @@
 	is.True(g.Counts(allKinds, faultAt+span, faultAt+span+2*time.Second).Share() >= 0.97)
 }
 
-// The same with two domains cordoned one after the other: jobs may also be sent back and forth
-// between them.
+// Guards against tasks that start in cordoned domains, or lost jobs, when two domains are cordoned one
+// after the other: jobs may also be sent back and forth between them.
 func TestTwoCordonedDomains(t *testing.T) {
 	is := is.New(t)
 	const span = 4 * time.Second
@@ -59,7 +59,7 @@
 // cordons only from the store and not from its neighbours. The store rejects the domain's reader,
 // then the domain is cordoned. One second to replace the reader is allowed.
 func TestCordonIsLearnedFromNeighbours(t *testing.T) {
-	for _, vm := range []int{1, 5} { // both of the domain: one of them reads
+	for _, vm := range []int{1, 5} { // the domain's two VMs, one of which reads the store
 		set := UserSetup(80)
 		set.Faults = []Fault{
 			{At: faultAt - 2*time.Second, Do: func(g *Grid) { g.RejectVM(g.VM(vm), true) }},
--- a/internal/tool/grid/crash_test.go
+++ b/internal/tool/grid/crash_test.go
@@ -50,7 +50,9 @@
 	}
 }
 
-// Endpoints are assigned to the four failure domains in turn.
+// byDomain, acrossDomains and shiftedAcross return the number of an endpoint's quarter. Endpoints are
+// assigned to the four failure domains in turn, so a quarter of byDomain is a failure domain, and
+// a quarter of the others has endpoints of all domains.
 func byDomain(n int) int      { return n % 4 }
 func acrossDomains(n int) int { return n / 4 % 4 }
 func shiftedAcross(n int) int { return (n + n/4) % 4 }
--- a/internal/tool/grid/fault_test.go
+++ b/internal/tool/grid/fault_test.go
@@ -83,7 +83,7 @@
 		fresh.Add(g.Counts(allKinds, from, from+1300*time.Millisecond))
 	}
 	t.Logf("%.3f in time of %+v", fresh.Share(), fresh)
-	is.True(fresh.Share() >= 0.84) // 0.88 measured
+	is.True(fresh.Share() >= 0.84) // usually 0.88
 }
 
 // Guards against callers cut off by a planned replacement, in which all VMs leave and restart one
@@ -223,7 +223,7 @@
 	}
 }
 
-// Guards against one job in twelve being late while a rack of endpoints is slow though the others
+// Guards against one job in twelve being late while a rack of endpoints is slow, although the others
 // have room: eight of 48 take 6.5 times as long for five seconds. They were detected only by runs
 // that had ended, which takes a second or more, and got work meanwhile.
 func TestSlowEndpointsAreKnownByRunsThatGoOn(t *testing.T) {
@@ -252,7 +252,7 @@
 
 // Guards against tasks that run on for seconds though no caller waits for them: orders are carried
 // out three seconds late, and the VMs that sent them are removed for good meanwhile. A late start
-// must not be accepted, and no lease may outlive the VM that renews it.
+// must not be accepted, and every run must end with the last lease that its VM requested.
 func TestNothingRunsOnAfterVMsAreRemoved(t *testing.T) {
 	is := is.New(t)
 	leaseEnd := Limits.Hold + Limits.Stop
@@ -315,7 +315,7 @@
 	answers := make(chan job.Answer, 3)
 	simulate(t, withFault(func(g *Grid) {
 		v := g.VM(0)
-		v.accepting.Store(false) // it learns of no owners by answering other callers
+		v.accepting.Store(false) // otherwise it learns of owners by answering other callers
 		go g.Drain(v, false)
 		for i := range cap(answers) {
 			time.Sleep(700 * time.Millisecond)
--- a/internal/tool/grid/isolation_test.go
+++ b/internal/tool/grid/isolation_test.go
@@ -13,7 +13,7 @@
 // ownerWait is how long callers' jobs wait for the first owner of endpoints.
 const ownerWait = 600 * time.Millisecond
 
-// joinTime is how long a starting VM may not know all owners and may probe for them.
+// joinTime is the age up to which a VM may not know all owners, and may probe for them.
 const joinTime = 2 * time.Second
 
 // lightLoad is a load that one VM and the endpoints of its failure domain can carry.
@@ -114,7 +114,7 @@
 	}
 }
 
-// Guards against a VM that keeps asking the store for a neighbour that is lost for good.
+// Guards against a VM that keeps probing, through the store, for a neighbour that is lost for good.
 func TestLostNeighbourIsProbedAtStartOnly(t *testing.T) {
 	const lost, restarted = 7, 3 // of one failure domain
 	is := is.New(t)
--- a/internal/tool/grid/judge.go
+++ b/internal/tool/grid/judge.go
@@ -21,12 +21,12 @@
 	started    map[string]bool           // jobs that started at least one task
 	answers    map[string]job.Answer
 	tasks      map[string]int
-	cordonedAt map[string]time.Time // since when endpoints may start nothing
-	crashing   map[string]bool      // jobs with a task that crashes endpoints
-	crashes    map[string]int       // starts of such tasks, by task
-	runStarts  map[string]time.Time // when each ongoing run began, by task and endpoint
-	freed      map[string][]time.Time
-	endedAt    map[string]time.Time // when the last run of a task ended or was stopped
+	cordonedAt map[string]time.Time   // since when endpoints may start nothing
+	crashing   map[string]bool        // jobs with a task that crashes endpoints
+	crashes    map[string]int         // starts of tasks that crash endpoints, by task
+	runStarts  map[string]time.Time   // when each ongoing run began, by task and endpoint
+	freed      map[string][]time.Time // when a caller got the outcome unknown, by job
+	endedAt    map[string]time.Time   // when the last run of a task ended or was stopped
 	gaps       []Gap
 	violations []string
 	Starts     int
@@ -113,7 +113,8 @@
 	}
 }
 
-// AllowResubmit records a time from which a caller may submit its job again, after a while.
+// AllowResubmit records when a caller got the outcome unknown; it may submit its job again
+// resubmitAfter later.
 func (j *Judge) AllowResubmit(at time.Time, id string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -152,14 +153,14 @@
 	j.crashing[id] = true
 }
 
-// IsCrashing reports whether a job has such a task.
+// IsCrashing reports whether a job was marked by MarkCrashing.
 func (j *Judge) IsCrashing(id string) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.crashing[id]
 }
 
-// Crashes returns how many endpoints such tasks crashed in all, and the most by one task.
+// Crashes returns how many endpoints were crashed by tasks, in all and by the worst task.
 func (j *Judge) Crashes() (all, most int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/internal/tool/grid/judge_test.go
+++ b/internal/tool/grid/judge_test.go
@@ -14,7 +14,7 @@
 func TestJudgeDetectsRunThatOutlivesItsCaller(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		began time.Duration // after the job could be submitted again
+		began time.Duration // since the time given to AllowResubmit, like ended
 		ended time.Duration
 		want  int
 	}{
--- a/internal/tool/grid/load.go
+++ b/internal/tool/grid/load.go
@@ -33,7 +33,8 @@
 	Cores, Memory float64
 }
 
-// The latency objective of the users' queues is stretch times the run time, plus slack.
+// The latency objective of the users' queues is stretch times the run time of a job's longest task,
+// plus slack.
 const (
 	stretch = 1.6
 	slack   = 60 * time.Millisecond
@@ -81,7 +82,7 @@
 // InTime reports whether the job was done within its objective.
 func (r *Result) InTime() bool { return r.Answer.Outcome == job.Done && r.Took <= r.Objective }
 
-// usefulFactor times its objective is how late an answer may be to be of some use.
+// usefulFactor is the multiple of the objective up to which a late answer is still of some use.
 const usefulFactor = 3
 
 // Late reports whether the job was done too late for its objective, but early enough to be of some
@@ -200,11 +201,11 @@
 	g.mu.Unlock()
 }
 
-// resubmitAfter is how long a caller waits before it submits again after its VM died or it found
-// none.
+// resubmitAfter is how long a caller waits before it submits a job again: its VM died, it found no
+// VM, or the outcome was unknown.
 const resubmitAfter = 1300 * time.Millisecond
 
-// Reasons of callers that got no answer from a VM.
+// Reasons in answers of the simulation itself, for callers that got none from a VM.
 const (
 	noVM   = "no VM"
 	vmDied = "VM died"
--- a/internal/tool/grid/load_test.go
+++ b/internal/tool/grid/load_test.go
@@ -30,7 +30,7 @@
 // that differs from run to run; that of the mean is half as large.
 const numSeeds = 4
 
-// boundOverrun is how long after a burst Bound looks on: the objective of the longest jobs.
+// boundOverrun is how long after a burst jobs still count for Bound: the objective of the longest jobs.
 const boundOverrun = 3 * time.Second
 
 // Guards against answers too late to be of use in a burst of all kinds: two and a half times the
@@ -63,8 +63,8 @@
 	is.True(first.Share() >= 0.75)
 	is.True(all.Share() >= 0.70)
 	is.True(earned >= 0.67)                                 // the endpoints can do 0.67 of the work submitted
-	is.True(extended >= 0.79*packed)                        // 0.83 measured, without knowledge of future jobs
-	is.True(float64(all.Failed) <= 0.01*float64(all.Asked)) // held until an answer was of no use
+	is.True(extended >= 0.79*packed)                        // usually 0.83, without knowledge of future jobs
+	is.True(float64(all.Failed) <= 0.01*float64(all.Asked)) // failed: held until an answer was of no use
 	is.True(after.Share() >= 0.97)
 }
 
--- a/internal/tool/grid/net.go
+++ b/internal/tool/grid/net.go
@@ -106,7 +106,7 @@
 // linkLostAfter is how long a peer may be paused before a link to it counts as lost.
 const linkLostAfter = 500 * time.Millisecond
 
-// resendInterval is how often a reliable message is tried while its path is cut.
+// resendInterval is the time between two tries to send a reliable message while its path is cut.
 const resendInterval = 20 * time.Millisecond
 
 func (l *link) run() {
--- a/internal/tool/grid/outlive_test.go
+++ b/internal/tool/grid/outlive_test.go
@@ -41,7 +41,7 @@
 		simulate(t, longTasks(seed+1, func(g *Grid) {
 			v := g.VM(int(seed))
 			v.uplink.slowDown(slowdown)
-			for i := range g.Domains { // it hears no owner, and its own heartbeats go on
+			for i := range g.Domains { // it receives nothing from owners there, which still receive its heartbeats
 				if from := domainName(i); from != v.Domain {
 					g.Cut(from, v.Domain, true)
 				}
--- a/internal/tool/grid/packed.go
+++ b/internal/tool/grid/packed.go
@@ -120,6 +120,7 @@
 	return true
 }
 
+// book adds cores to those that are free on the endpoint of a placement during its time.
 func (p *packer) book(s placement, cores float64) {
 	row := p.free[s.row][s.at : s.at+s.steps]
 	for i := range row {
--- a/internal/tool/grid/scale_test.go
+++ b/internal/tool/grid/scale_test.go
@@ -84,10 +84,10 @@
 var large = flag.Bool("large", false, "play the largest fleets too")
 
 // Guards against all 72 VMs of a first start reading all endpoints from a store that takes 150 ms
-// to answer. Each waited 0.1 s to learn of the other VMs, assumed a small fleet when it did not,
-// and read; with knowledge of them it would wait 0.3 s for a copy, which is shorter than two slow
-// calls. Seen: 72.0 records for each endpoint. The other cases are first starts that did not show
-// it.
+// to answer. Each waited 0.1 s to learn of the other VMs. When it learned of none, it assumed a small
+// fleet and read the store. A VM that knows of others waits 0.3 s for a copy, which is shorter than
+// two slow calls. Seen: 72.0 records for each endpoint. The other cases are first starts that did
+// not show it.
 func TestFirstStartsOfManyReadLittleOfTheStore(t *testing.T) {
 	cases := map[string]func(*Setup){
 		"slow store":  func(s *Setup) { s.StoreDelay = 150 * time.Millisecond },
@@ -115,10 +115,10 @@
 	}
 }
 
-// Guards against control that takes too much of a VM's link: the sweep's day at 300 VMs is aborted
-// for its processor time, and a VM sends 177 KB a second there, and 34 KB with 30 VMs. The cause is
-// not known; heartbeats go to all neighbours, which are 74 then. The bound is the users': 16 KB a
-// second for the control of one daemon.
+// Guards against control that takes too much of a VM's link. In a sweep over fleet sizes the day with
+// 300 VMs is aborted for its processor time; a VM sends 177 KB a second there, and 34 KB with 30 VMs.
+// The cause is not known; heartbeats go to all neighbours, which are 74 with 300 VMs. The bound is
+// the users': 16 KB a second for the control of one daemon.
 func TestControlStaysWithinItsShare(t *testing.T) {
 	fleets := []int{24}
 	if *large {
@@ -222,5 +222,5 @@
 		t.Logf("%.3f in time of %+v, %d records read of the store", c.Share(), c, g.EndpointReads.Load())
 		all.Add(c)
 	}
-	is.True(all.Share() >= 0.85) // 0.91 to 0.92 measured; 0.36 in the first run before the fix
+	is.True(all.Share() >= 0.85) // usually 0.91 to 0.92; 0.36 in the first run with the fault
 }
--- a/internal/tool/grid/score.go
+++ b/internal/tool/grid/score.go
@@ -9,7 +9,7 @@
 	"dahliawinch/internal/task/job"
 )
 
-// Count tells how many jobs were submitted and how they ended.
+// Count holds the number of submitted jobs, and of those that ended in each way.
 type Count struct {
 	Asked, InTime, Late, Refused, Failed int
 }
@@ -65,7 +65,7 @@
 }
 
 // worth returns the worth of a job: three tenths of its kind's worth are fixed, the rest grows with
-// its work.
+// its work, up to four times the kind's worth in all.
 func (g *Grid) worth(r *Result) float64 {
 	k := g.Kinds[r.Kind]
 	mean := float64(k.Width) * k.cores() * k.Work.Seconds()
--- a/internal/tool/grid/store_test.go
+++ b/internal/tool/grid/store_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-// logTimes records when log lines came that contain all words.
+// logTimes records the times of the log lines that contain all words.
 type logTimes struct {
 	words []string
 	mu    sync.Mutex
@@ -44,7 +44,7 @@
 // and serves the others. It remained the reader, posted nothing, and received nothing of what the
 // others read instead.
 func TestReaderThatTheStoreTurnsAwayIsReplaced(t *testing.T) {
-	for _, vm := range []int{0, 4} { // both of a domain: one of them reads
+	for _, vm := range []int{0, 4} { // a domain's two VMs, one of which reads the store
 		is := is.New(t)
 		set := UserSetup(100)
 		adopted := &logTimes{words: []string{"configuration in force", "version=2"}}
--- a/internal/tool/grid/trial_test.go
+++ b/internal/tool/grid/trial_test.go
@@ -29,7 +29,8 @@
 	return all
 }
 
-// simulateSeeds runs a setup with every seed.
+// simulateSeeds runs a setup with every seed and calls see after each run, with the run's weight in the
+// mean.
 func simulateSeeds(t *testing.T, set Setup, see func(g *Grid, part float64)) {
 	t.Helper()
 	for _, s := range trialSeeds() {
--- a/internal/tool/grid/uplink.go
+++ b/internal/tool/grid/uplink.go
@@ -7,10 +7,10 @@
 	"dahliawinch/internal/mesh/frame"
 )
 
-// Bytes of messages on the wire, as measured on simulated days.
+// Usual sizes of messages on the wire, in bytes, on simulated days.
 const (
 	startOrderBytes = 600 // an order to start, with the task
-	otherOrderBytes = 210 // a renewal, a probe, an order to stop
+	otherOrderBytes = 210 // a renewal, an order to stop
 	handoverBytes   = 650 // a job handed to another VM
 	otherMsgBytes   = 100 // a heartbeat, a load report, an answer
 )
--- a/internal/tool/grid/uplink_test.go
+++ b/internal/tool/grid/uplink_test.go
@@ -76,7 +76,7 @@
 	from, to := 4*time.Second, 8*time.Second
 	earned, packed := 0.0, 0.0
 	var all Count
-	const fewSeeds = 2 // twice the usual jobs, so as many as in four runs of eight VMs
+	const fewSeeds = 2 // each run has twice the jobs of a run with eight VMs, so two are enough
 	for seed := range uint64(fewSeeds) {
 		set := slowLinkSetup()
 		set.Seed = seed + 1
--- a/internal/tool/judge/judge.go
+++ b/internal/tool/judge/judge.go
@@ -35,9 +35,9 @@
 	Failed        int `json:"failed"`
 	Unknown       int `json:"unknown"`
 	Twice         int `json:"twice"`   // tasks that started more than once
-	Partial       int `json:"partial"` // done answers that lack results
-	Crossed       int `json:"crossed"` // answers with another request's results
-	FalseRefusals int `json:"lies"`    // refused although a task started
+	Partial       int `json:"partial"` // jobs done with too few or too many results, or not done but with results
+	Crossed       int `json:"crossed"` // jobs with a result of another job or task
+	FalseRefusals int `json:"lies"`    // jobs refused although a task started
 }
 
 // Broken returns the number of violated guarantees.
--- a/internal/tool/local/local.go
+++ b/internal/tool/local/local.go
@@ -76,7 +76,7 @@
 	Endpoints []*fakes.Endpoint
 	VMs       []*VM
 	LogAt     netip.AddrPort // address of the platform's log
-	ListAt    netip.AddrPort // and of its list
+	ListAt    netip.AddrPort // address of the platform's list
 
 	group  *errgroup.Group
 	ctx    context.Context //nolint:containedctx // ends with the deployment
--- a/internal/tool/local/local_test.go
+++ b/internal/tool/local/local_test.go
@@ -306,7 +306,7 @@
 	wg.Wait()
 	is.Equal(j.Verdict().Twice, 0)
 	is.Equal(b.Ask(t.Context(), ts[0]).Outcome, winch.Done)
-	is.Equal(b.Ask(t.Context(), ts[1]).Outcome, winch.Refused) // asking used it up
+	is.Equal(b.Ask(t.Context(), ts[1]).Outcome, winch.Refused) // the question used up the ticket
 	job.Ticket = ts[1]
 	ans, err := a.Submit(t.Context(), job)
 	is.NoErr(err)
--- a/internal/tool/mix/mix.go
+++ b/internal/tool/mix/mix.go
@@ -136,6 +136,7 @@
 	return sum
 }
 
+// probability returns the probability that a job has n tasks.
 func (k Kind) probability(n int) float64 {
 	lo, hi := float64(k.Least), float64(k.Most+1)
 	return (math.Log(float64(n+1)) - math.Log(float64(n))) / (math.Log(hi) - math.Log(lo))
--- a/internal/tool/model/choose.go
+++ b/internal/tool/model/choose.go
@@ -9,7 +9,7 @@
 // fails; every other one is a fault, of which a sequence has at most maxFaults. Each sequence
 // is run from the start, so that the state of the product's code needs no copying.
 type chooser struct {
-	maxFaults int // maximum of a sequence
+	maxFaults int // maximum number of faults in a sequence
 	path      []choice
 	pos       int
 }
--- a/internal/tool/model/endpoint.go
+++ b/internal/tool/model/endpoint.go
@@ -8,7 +8,7 @@
 	"dahliawinch/internal/task/lease"
 )
 
-// endpoint has a slow clock and one lease for all its runs. At most one of them is of the job.
+// endpoint has a slow clock and one lease for all its runs. At most one run belongs to the job.
 type endpoint struct {
 	w       *world
 	id      string
@@ -22,7 +22,7 @@
 
 type activeRun struct {
 	lease.RunID
-	submission int // whose run it is
+	submission int // number of the VM that runs its job
 	started    time.Time
 	due        time.Time
 }
--- a/internal/tool/model/entry.go
+++ b/internal/tool/model/entry.go
@@ -21,7 +21,7 @@
 	staleDelay       = 700 * time.Millisecond // a job with this delay is refused as stale
 	shortPause       = 600 * time.Millisecond // shorter than a lease
 	silenceTimeout   = 700 * time.Millisecond // silence of the owner after which the caller gets an answer
-	slowFactor       = 4                      // stretches arrival times on a slow link, counted from slowSince
+	slowFactor       = 4                      // a message sent d after slowSince arrives slowFactor*d after it, plus its delay
 	faultyKeepalives = 3                      // keepalives that are subject to faults
 	ownerFaultEvery  = 2                      // the owner may fail at every second keepalive
 )
@@ -85,7 +85,7 @@
 	if !over || e.w.isRunning(0) || slices.ContainsFunc(e.w.events, func(x event) bool { return x.receiver == nil }) {
 		return false
 	}
-	if e.resubmitAt.IsZero() { // it will get no answer, and its faults are over
+	if e.resubmitAt.IsZero() { // it waits for an answer that never comes, and the time of faults is over
 		return !o.dead && e.w.now.Sub(e.sent) > faultyKeepalives*keepaliveInterval
 	}
 	return e.w.vms[1].submitted
@@ -264,7 +264,8 @@
 	return k
 }
 
-// keepOwnAlive renews the jobs whose callers are at the VM itself, even if a caller has left unnoticed.
+// keepOwnAlive sends keepalives for the jobs whose callers are at the VM itself. It goes on if a caller has
+// left, since the VM does not notice that.
 func (v *vm) keepOwnAlive() {
 	v.owner.Keepalive(v.w.now, v.ownKey(), v.w.now)
 	if v.n == 1 || v.w.entry == nil {
--- a/internal/tool/model/world.go
+++ b/internal/tool/model/world.go
@@ -22,11 +22,11 @@
 	work          = 200 * time.Millisecond // run time of the task
 	hold          = time.Second            // maximum lease
 	longPause     = 1500 * time.Millisecond
-	shortDelay    = 150 * time.Millisecond // a late request is executed after this time,
-	longDelay     = 2 * time.Second        // or after this
-	takeoverAfter = time.Second            // after which the other VM takes over
-	resubmitAfter = 1300 * time.Millisecond
-	maxAttempts   = 2 // of a start or a stop request
+	shortDelay    = 150 * time.Millisecond  // a late request is executed after this time,
+	longDelay     = 2 * time.Second         // or after this
+	takeoverAfter = time.Second             // after which the other VM takes over
+	resubmitAfter = 1300 * time.Millisecond // after which the caller submits the job again
+	maxAttempts   = 2                       // of a start or a stop request
 )
 
 // The job and its one task.
@@ -353,7 +353,7 @@
 // executed late.
 func (v *vm) request(what string, do func() error) error { return v.requestWith(6, what, do) }
 
-// requestWith is request with the first n choices only.
+// requestWith is request with only the first n of its six choices.
 func (v *vm) requestWith(n int, what string, do func() error) error {
 	if v.w.entry != nil && v.n > 0 {
 		return do()
--- a/internal/tool/scene/caller.go
+++ b/internal/tool/scene/caller.go
@@ -17,7 +17,7 @@
 	Job    *mix.Job
 	At     time.Duration // since the start
 	Took   time.Duration // response time
-	Ideal  time.Duration // response time, see func Ideal
+	Ideal  time.Duration // ideal response time, see func Ideal
 	Answer *job.Answer
 	Domain string // of the VM that the caller reached
 }
--- a/internal/tool/scene/declare_test.go
+++ b/internal/tool/scene/declare_test.go
@@ -80,9 +80,10 @@
 // phase returns a delay that spreads events over the heartbeat period.
 func (s *Scene) phase(n int) time.Duration { return time.Duration(n*37%100) * time.Millisecond }
 
-// Guards against two operators who are both told that their change is in force: 200
-// declare on one base at once, through all VMs, and a fifth of the log's answers are
-// lost. Acceptance must follow the log's order rather than the order of arrival.
+// Guards against two operators who both get the answer that their change is in force: 200
+// operators declare at once, through all VMs, each a change to the same revision, and a
+// fifth of the log's answers are lost. Acceptance must follow the log's order rather than
+// the order of arrival.
 func TestConcurrentDeclarationsHaveOneWinner(t *testing.T) {
 	t.Parallel()
 	const operators = 200
@@ -186,7 +187,7 @@
 	t.Parallel()
 	const services, terms, hour = 490, 8, 3600.0
 	set := idleSetup(terms * 4 * time.Minute)
-	set.Retention, set.LogRules.Keep = 4*time.Minute, 4*time.Minute // stands for an hour, to run faster
+	set.Retention, set.LogRules.Keep = 4*time.Minute, 4*time.Minute // instead of an hour, so that the test is faster
 	s := play(t, set)
 	perService := float64(s.Stream.Appends()-1) / terms / hour
 	t.Logf("%.5f refreshes a second for one service with 8 VMs and an hour's retention, %.3f for %d", perService, services*perService, services)
--- a/internal/tool/scene/fault.go
+++ b/internal/tool/scene/fault.go
@@ -41,8 +41,8 @@
 // DelayMessages adds a delay to a VM's messages to other VMs.
 func (s *Scene) DelayMessages(v *VM, by time.Duration) { v.delay.Store(int64(by)) }
 
-// Replace drains a VM and boots a new one at its address; the load balancer notices
-// each a second later.
+// Replace drains a VM and boots a new one at its address. The load balancer notices the
+// drain and the new VM a second later each.
 func (s *Scene) Replace(v *VM) error {
 	go func() {
 		time.Sleep(time.Second)
@@ -67,7 +67,8 @@
 // linger is how long a draining VM still accepts callers, as entry daemons do.
 const linger = 2 * time.Second
 
-// Pause freezes a VM; the load balancer notices a second later, and its end at once.
+// Pause pauses a VM. The load balancer notices the pause a second later, and its end at
+// once.
 func (s *Scene) Pause(v *VM, d time.Duration) {
 	v.clock.pause(d)
 	time.Sleep(time.Second)
--- a/internal/tool/scene/fault_test.go
+++ b/internal/tool/scene/fault_test.go
@@ -119,8 +119,8 @@
 	}
 }
 
-// Guards against tasks on an endpoint that is being replaced: the platform's list shows
-// that it leaves only half a minute later, so its own answers must count too.
+// Guards against tasks that start on an endpoint that is being replaced. Only half a minute
+// later does the platform's list show that it leaves, so its own answers must count too.
 func TestLeavingEndpointGetsNoNewWork(t *testing.T) {
 	for _, load := range []float64{0.05, 0.7} {
 		t.Run(fmt.Sprint(load), func(t *testing.T) {
--- a/internal/tool/scene/load_test.go
+++ b/internal/tool/scene/load_test.go
@@ -60,8 +60,9 @@
 	return perTask(play(t, set), meter.Refusal, meter.Probe, meter.Forward)
 }
 
-// The target is at most 0.02 wasted messages per task beyond localityWaste; at 80 % load
-// it is missed. docs/notes/placing.md says why.
+// Checks the ratio against the oracle's, and wasted messages per task beyond
+// localityWaste. The target for these is 0.02, which is missed at 80 % load for the reasons
+// in docs/notes/placing.md, so the test allows more.
 func TestRatioAndWasteUnderLoad(t *testing.T) {
 	const over = 1.25 // times the mean of OracleRatios
 	for _, c := range []struct{ load, ratio, waste float64 }{
--- a/internal/tool/scene/ticket_test.go
+++ b/internal/tool/scene/ticket_test.go
@@ -7,8 +7,8 @@
 	"dahliawinch/internal/task/job"
 )
 
-// ticketSetup returns a setup with a third of the load non-idempotent jobs that need
-// tickets.
+// ticketSetup returns a setup in which 0.4/1.4 = 29 % of the jobs are not idempotent and
+// need tickets.
 func ticketSetup(load float64) Setup {
 	set := DefaultSetup(load)
 	k := set.Mix.Kinds[0]
@@ -19,8 +19,8 @@
 
 // Guards against a job with a ticket that runs twice: its caller sends it to two VMs at
 // once, and again while the outcome is unknown, while VMs die, are paused, partitioned,
-// replaced and booted again. Two VMs, or two incarnations of one, each take their copy
-// of the submission for the first.
+// replaced and booted again. Each of two VMs, or of two incarnations of one, takes the
+// copy of the submission that it receives for the first.
 func TestTicketedWorkRunsAtMostOnce(t *testing.T) {
 	cases := map[string][]Fault{
 		"no fault": nil,
--- a/internal/tool/soak/event.go
+++ b/internal/tool/soak/event.go
@@ -21,7 +21,8 @@
 	replaceAfter = 1500 * time.Millisecond
 )
 
-// injectEvents injects events of operators, endpoints and the store's history, beside injectFaults.
+// injectEvents injects events of operators, endpoints and the store's history until ctx ends, at the
+// same time as injectFaults.
 func (s *Soak) injectEvents(ctx context.Context) {
 	for {
 		select {
@@ -108,8 +109,8 @@
 	return len(s.cordonedIDs) > 0
 }
 
-// postponeCordon allows for a fault of length d that may keep VMs from learning of a cordon. It extends
-// the time of earlier faults, since faults may follow each other without a pause.
+// postponeCordon allows for a fault of length d that may keep VMs from learning of a cordon. The
+// cordonDeadline counts from the latest end of all faults so far, which may follow each other without a pause.
 func (s *Soak) postponeCordon(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/tool/soak/fault.go
+++ b/internal/tool/soak/fault.go
@@ -82,7 +82,7 @@
 	})
 }
 
-// settingsSpan is how long changed settings last: long enough for a daemon to notice them, which polls each second.
+// settingsSpan is how long changed settings last. A daemon polls the file every second, so it notices them.
 const settingsSpan = 1500 * time.Millisecond
 
 // randomFault returns the name of a fault and a function that injects it. Lasting faults are
@@ -170,7 +170,7 @@
 	s.waitReady(v)
 }
 
-// startTimeout is how long a restart waits for the daemon to listen; it has read its settings by then.
+// startTimeout is how long a restart waits for the daemon to listen; a daemon that listens has read its settings.
 const startTimeout = 2 * time.Second
 
 // waitReady waits until a started daemon accepts connections of callers.
--- a/internal/tool/soak/load.go
+++ b/internal/tool/soak/load.go
@@ -22,7 +22,7 @@
 	resubmitAfter = 1300 * time.Millisecond
 	// longEvery is the number of jobs of which one has tasks that run for seconds.
 	longEvery = 3
-	// maxConns limits connections to a VM, and so the number of jobs that callers have there.
+	// maxConns limits connections to a VM, and so the number of jobs in progress there.
 	maxConns = 1 << 14
 	// crashEvery is the number of jobs of which one has a task that crashes its endpoint.
 	crashEvery = 100
--- a/internal/tool/soak/outlive.go
+++ b/internal/tool/soak/outlive.go
@@ -11,7 +11,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// outlivedBucket is the line prefix of the histogram of how long runs go on after the last keepalive of their job.
+// outlivedBucket is the prefix of the lines of one histogram: how long runs went on after the last keepalive of their job.
 const outlivedBucket = `dahliawinch_outlived_seconds_bucket{le="`
 
 // outlived returns the bound of the highest non-empty bucket of all VMs' histograms, or an hour if it is the last, unbounded
--- a/internal/tool/soak/outlive_test.go
+++ b/internal/tool/soak/outlive_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Guards against a report of late runs although the cumulative count of that bucket did not grow.
+// Guards against a bound that is too high: counts are cumulative, so a bucket without runs of its own has the count of the
+// bucket below.
 func TestHighestBucketIsOneThatCounted(t *testing.T) {
 	const head = `dahliawinch_outlived_seconds_bucket{le="0.1"} 2
 dahliawinch_outlived_seconds_bucket{le="1.0999999999999999"} 3
--- a/internal/tool/soak/proxy.go
+++ b/internal/tool/soak/proxy.go
@@ -25,7 +25,7 @@
 const addedDelay = 40 * time.Millisecond
 
 const (
-	// slowRate is the bandwidth of a slow proxy in bytes per second: some 40 requests.
+	// slowRate is the bandwidth of a slow proxy in bytes per second, enough for some 40 requests.
 	slowRate = 20_000
 	// chunkSize is how many bytes it sends at a time.
 	chunkSize = 512
--- a/internal/tool/soak/series.go
+++ b/internal/tool/soak/series.go
@@ -34,7 +34,7 @@
 	n := s.seriesRand.IntN(len(s.endpoints))
 	d := time.Duration(500+s.seriesRand.IntN(2500)) * time.Millisecond
 	short := 500*time.Millisecond + d/10
-	downtime := 1500*time.Millisecond + d/2 // leftovers of the lost VM that are kept alive show before its restart
+	downtime := 1500*time.Millisecond + d/2 // so long that runs of the killed VM that wrongly go on are seen before its restart
 	offset := time.Duration(s.seriesRand.Float64() * float64(short))
 	switch s.seriesRand.IntN(9) {
 	case 0:
--- a/internal/tool/soak/soak.go
+++ b/internal/tool/soak/soak.go
@@ -61,7 +61,8 @@
 	judge     *grid.Judge
 	store     *stand.Store
 	faultRand *rand.Rand // for injectFaults; used by one goroutine
-	// settingsRand is for changes of settings. Separate generators keep a seed's other faults as they were.
+	// settingsRand is for changes of settings. Each kind of fault has its own generator, so that a change to one
+	// kind leaves a seed's other faults as they were.
 	settingsRand *rand.Rand
 	// eventRand is for injectEvents, crashRand for jobs that crash their endpoints.
 	eventRand, crashRand *rand.Rand
@@ -90,7 +91,7 @@
 	settingsPath string
 	settings     map[string]any // content of the settings file
 	storeProxy   *proxy         // to the store
-	restartMu    sync.Mutex     // held during a restart
+	restartMu    sync.Mutex     // held during a restart and while settings are changed
 	fileMu       sync.Mutex     // guards the settings file
 	cmd          *exec.Cmd
 	log          *os.File
